--- a/test/fakes/controller-settings.ts
+++ b/test/fakes/controller-settings.ts
@@ -1,4 +1,5 @@
 /** @file The settings of the controllers in memory: addresses, teams, limits and leases. */
+import type { Observer } from './network';
 import type { Version } from './versions';
 
 export const STATE = '10.2.0.1:2379';
@@ -33,6 +34,8 @@
   versions?: Version[];
   /** Limits of the state service that the settings announce; see `FakeStateService.limits` for their coming into force. */
   nextLimits?: Record<string, unknown>;
+  /** Told of every message from the start on; nobody where there is none. */
+  observer?: Observer | undefined;
 }
 
 /** The controllers of a deployment. */
--- a/test/fakes/deployment.ts
+++ b/test/fakes/deployment.ts
@@ -62,6 +62,7 @@
 
   constructor(protected readonly options: WorldOptions) {
     this.cpu = options.cpu ?? this.cpu;
+    if (options.observer) this.network.observe(options.observer);
   }
 
   /** Starts a controller in place of the one before it, if any. */
@@ -99,7 +100,9 @@
       http: outwards,
       workers: outwards,
       broadcast: (bytes: Uint8Array): void => {
-        if (process.isKilled || this.silencePeers || this.mutes.has(own.name)) return;
+        if (process.isKilled) return;
+        this.network.report({ kind: 'peer message sent', from: own.name, bytes });
+        if (this.silencePeers || this.mutes.has(own.name)) return;
         if (this.lostPeerMessages.has(readPeerMessage(bytes)?.kind ?? '')) return;
         for (const other of this.controllers) {
           const cut =
@@ -109,6 +112,7 @@
           if (!other.alive || cut || this.mutes.has(other.name) || other.name === own.name) continue;
           void other.process.reached(Promise.resolve()).then(() => {
             if (!other.alive) return;
+            this.network.report({ kind: 'peer message received', from: own.name, to: other.name, bytes });
             other.node.onPeerFrame(Buffer.from(bytes));
           });
         }
--- a/test/fakes/network.ts
+++ b/test/fakes/network.ts
@@ -14,6 +14,17 @@
  * copy of it then.
  */
 export type Fate = 'deliver' | 'unreachable' | 'lose' | 'lose answer' | 'hold' | 'copy';
+/** A message that crosses the network; the number of a request is that of its answer. */
+export type Message =
+  | { kind: 'request'; number: number; request: Request }
+  | { kind: 'answer'; number: number; answer: Answer }
+  | { kind: 'peer message sent'; from: string; bytes: Uint8Array }
+  | { kind: 'peer message received'; from: string; to: string; bytes: Uint8Array };
+/**
+ * Told of every message and the simulated time: requests and peer messages when they leave, even if they get lost;
+ * answers and peer messages when they arrive.
+ */
+export type Observer = (message: Message, at: number) => void;
 export type Host = (request: Request) => Answer | Promise<Answer>;
 
 /** What a worker's stand-in needs of a network: this one, or the loopback under load. */
@@ -30,6 +41,8 @@
   readonly #hosts = new Map<string, Host>();
   #rules: ((request: Request) => Fate | undefined)[] = [];
   #held: (() => void)[] = [];
+  #observer: Observer | undefined;
+  #requests = 0;
   #watch: ((request: Request) => (answer: Answer) => void) | undefined;
 
   constructor(private readonly clock: FakeClock) {}
@@ -55,6 +68,16 @@
     this.#watch = watch;
   }
 
+  /** Has every message that crosses the network told from now on. */
+  observe(observer: Observer): void {
+    this.#observer = observer;
+  }
+
+  /** Tells the observer, if there is one; the links between controllers report their messages here. */
+  report(message: Message): void {
+    this.#observer?.(message, this.clock.now());
+  }
+
   /** Delivers what was held, in order, though its senders have long given up. */
   release(): number {
     const held = this.#held;
@@ -71,6 +94,9 @@
 
   #call(request: Request, timeoutMs: number): Promise<Answer> {
     return new Promise((resolve, reject) => {
+      this.#requests += 1;
+      const number = this.#requests;
+      this.report({ kind: 'request', number, request });
       const answered = this.#watch?.(request);
       let over = false;
       const fate = this.#rules.map((rule) => rule(request)).find((f) => f !== undefined) ?? 'deliver';
@@ -90,6 +116,7 @@
             if (over) return;
             over = true;
             this.clock.cancel(timer);
+            this.report({ kind: 'answer', number, answer });
             answered?.(answer);
             resolve(structuredClone(answer));
           });
--- a/test/walk.test.ts
+++ b/test/walk.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { canonicalJson, TrafficDigest } from './fakes/traffic-digest';
 import { Walk } from './walk';
 
 const SEEDS = [1, 2, 3, 4];
@@ -17,3 +18,41 @@
   for (const walk of walks) await walk.run();
   assert.deepEqual(walks[0]?.steps, walks[1]?.steps);
 });
+
+async function digestOf(seed: number): Promise<{ hex: string; count: number }> {
+  const digest = new TrafficDigest();
+  await new Walk(seed, 20_000, digest.add).run();
+  return { hex: digest.hex(), count: digest.count };
+}
+
+test('the same seed makes the same messages, and another seed others', async () => {
+  const first = await digestOf(7);
+  assert.ok(first.count > 1000, `${first.count} messages`);
+  assert.deepEqual(await digestOf(7), first);
+  assert.notEqual((await digestOf(8)).hex, first.hex);
+});
+
+test('the digest takes in the time, each message and their order, and not the order of fields', () => {
+  const bytes = new Uint8Array([1, 2]);
+  const sent = { kind: 'peer message sent', from: 'node-0', bytes } as const;
+  const received = { kind: 'peer message received', from: 'node-0', to: 'node-1', bytes } as const;
+  const hexOf = (...messages: [typeof sent | typeof received, number][]): string => {
+    const digest = new TrafficDigest();
+    for (const [message, at] of messages) digest.add(message, at);
+    return digest.hex();
+  };
+  const hexes = [
+    hexOf([sent, 1], [received, 1]),
+    hexOf([received, 1], [sent, 1]),
+    hexOf([sent, 1], [received, 2]),
+    hexOf([sent, 1]),
+    hexOf([{ ...sent, bytes: new Uint8Array([1, 3]) }, 1]),
+  ];
+  assert.equal(new Set(hexes).size, hexes.length);
+  assert.equal(
+    canonicalJson({ b: [1, null], a: { d: 'x', c: undefined } }),
+    canonicalJson({ a: { d: 'x' }, b: [1, null] }),
+  );
+  assert.notEqual(canonicalJson({ a: '1' }), canonicalJson({ a: 1 }));
+  assert.throws(() => canonicalJson({ a: new Map() }));
+});
--- a/test/walk.ts
+++ b/test/walk.ts
@@ -1,6 +1,7 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { Answer } from '../src/transport/http-client';
+import type { Observer } from './fakes/network';
 import { submission } from './fakes/submission';
 import { World } from './fakes/world';
 import { WalkChains } from './walk-chains';
@@ -27,7 +28,7 @@
  * step; then all troubles end, and what was accepted has to come to its end. The same seed makes the same walk.
  */
 export class Walk {
-  readonly world = new World({ limitCpus: LIMIT });
+  readonly world: World;
   readonly steps: string[] = [];
   readonly #random;
   #troubles: Trouble[] = [];
@@ -42,7 +43,9 @@
   constructor(
     readonly seed: number,
     private readonly troubledMs = 90_000,
+    observer?: Observer,
   ) {
+    this.world = new World({ limitCpus: LIMIT, observer });
     this.#random = xoroshiro128plus(seed);
     this.#chains = new WalkChains(seed);
     this.#meetings = new Meetings(this.#walker());
