--- a/src/base/settings.ts
+++ b/src/base/settings.ts
@@ -96,11 +96,11 @@
   operator: OperatorSettings;
   /** The operator's file, for messages. */
   operatorFile: string;
-  /** Longest time that a controller may act on a block without news from the state service. */
-  blockLeaseMs: number;
+  /** Longest time that a controller may act on a shard without news from the state service. */
+  shardLeaseMs: number;
   /**
    * How long after its owner has heard of a cancellation a worker may go on being answered while a start of that job may
-   * still reach it: the block lease (until the owner hears), this and the worker's lease are under `cancel_s`.
+   * still reach it: the shard lease (until the owner hears), this and the worker's lease are under `cancel_s`.
    */
   cancelDoubtMs: number;
   sockets: SocketShares;
@@ -112,13 +112,13 @@
   warnings: string[];
 }
 
-const MAX_BLOCK_LEASE_MS = 30_000;
-const DEFAULT_BLOCK_LEASE_MS = 5_000;
+const MAX_SHARD_LEASE_MS = 30_000;
+const DEFAULT_SHARD_LEASE_MS = 5_000;
 /** Left over between the last moment of a cut-off owner's tasks and the bound on cancellations. */
 const CANCEL_MARGIN_MS = 4_000;
 /** A grant of other nodes to an owner (`LeaseExtension`) binds for this long. */
 export const PROMISE_MS = 2_500;
-const MIN_BLOCK_LEASE_MS = 2_000;
+const MIN_SHARD_LEASE_MS = 2_000;
 /** For timers and messages on their way, where a sum of times has to stay under the bound on cancellations. */
 const TURN_MARGIN_MS = 1_000;
 /** With the runtime's flags as `deploy/service.toml` has them; figures in docs/PERFORMANCE.md. */
@@ -149,27 +149,27 @@
   }
 }
 
-/** The block lease in milliseconds: the operator's, or one that follows from the workers' lease. */
-function chooseBlockLease(
+/** The shard lease in milliseconds: the operator's, or one that follows from the workers' lease. */
+function chooseShardLease(
   { lease_s, cancel_s }: PlatformSettings['deployment']['workers'],
   operator: OperatorSettings,
   [platformFile, operatorFile]: SettingsFiles,
 ): number {
   // A cut-off owner may answer workers until its lease ends, and their tasks live one worker lease longer.
-  // A cancellation that it can't hear of must still hold: block lease + worker lease + margin <= cancel_s.
-  const longest = Math.min(MAX_BLOCK_LEASE_MS, (cancel_s - lease_s) * 1000 - CANCEL_MARGIN_MS);
-  if (longest < MIN_BLOCK_LEASE_MS) {
+  // A cancellation that it can't hear of must still hold: shard lease + worker lease + margin <= cancel_s.
+  const longest = Math.min(MAX_SHARD_LEASE_MS, (cancel_s - lease_s) * 1000 - CANCEL_MARGIN_MS);
+  if (longest < MIN_SHARD_LEASE_MS) {
     throw new SettingsError(`${platformFile}: deployment.workers.cancel_s: leaves no time for a block lease`);
   }
   // Shorter by default: a takeover should be over while the workers of a dead owner still hold their leases.
-  const usual = Math.min(DEFAULT_BLOCK_LEASE_MS, (lease_s * 1000) / 2, longest);
+  const usual = Math.min(DEFAULT_SHARD_LEASE_MS, (lease_s * 1000) / 2, longest);
   const wanted =
     operator.block_lease_s === undefined
-      ? Math.max(usual, MIN_BLOCK_LEASE_MS)
+      ? Math.max(usual, MIN_SHARD_LEASE_MS)
       : operator.block_lease_s * 1000;
-  if (wanted > longest || wanted < MIN_BLOCK_LEASE_MS) {
+  if (wanted > longest || wanted < MIN_SHARD_LEASE_MS) {
     throw new SettingsError(
-      `${operatorFile}: block_lease_s: must lie between ${MIN_BLOCK_LEASE_MS / 1000} and ${longest / 1000}`,
+      `${operatorFile}: block_lease_s: must lie between ${MIN_SHARD_LEASE_MS / 1000} and ${longest / 1000}`,
     );
   }
   return Math.floor(wanted);
@@ -189,7 +189,7 @@
   const derived = throttlingFor(deployment.quota.cpu, others.length + 1);
   return {
     ...derived,
-    blocks: operator.blocks ?? derived.blocks,
+    shards: operator.blocks ?? derived.shards,
     roundBudgetMs: operator.round_budget_ms ?? derived.roundBudgetMs,
   };
 }
@@ -219,11 +219,11 @@
   const checked = check(platformSchema, platform, platformFile);
   const options = check(operatorSchema, operator, operatorFile);
   const { workers, state, quota } = checked.deployment;
-  const blockLeaseMs = chooseBlockLease(workers, options, files);
+  const shardLeaseMs = chooseShardLease(workers, options, files);
   const next = readNextLimits(state.next);
   // Within this time an owner has heard of a cancellation, or has stopped. At least 2.5 s are left, by the bound on the
-  // block lease.
-  const hearingMs = Math.max(blockLeaseMs, PROMISE_MS);
+  // shard lease.
+  const hearingMs = Math.max(shardLeaseMs, PROMISE_MS);
   return {
     platform: {
       ...checked,
@@ -231,7 +231,7 @@
     },
     operator: options,
     operatorFile,
-    blockLeaseMs,
+    shardLeaseMs,
     cancelDoubtMs: (workers.cancel_s - workers.lease_s) * 1000 - hearingMs - TURN_MARGIN_MS,
     sockets: chooseSockets(checked, platformFile),
     pace: chooseThrottling(checked, options),
--- a/src/base/sockets.ts
+++ b/src/base/sockets.ts
@@ -30,7 +30,7 @@
 const WORKERS_PART = 7 / 8;
 
 /**
- * One block's owner holds a connection of each of its machines. The more connections of ours stay open, the fewer are
+ * One shard's owner holds a connection of each of its machines. The more connections of ours stay open, the fewer are
  * left for that; so commands use few, and what they leave idle makes way as workers come.
  */
 export function shareSockets(limit: number, others: number): SocketShares {
--- a/src/base/state-limits.ts
+++ b/src/base/state-limits.ts
@@ -17,7 +17,7 @@
 type LimitName = keyof StateLimits;
 
 const BYTES_PER_KB = 1024;
-/** The taking of a block needs this many changes in one transaction. */
+/** The taking of a shard needs this many changes in one transaction. */
 const LEAST_CHANGES = 3;
 /** Part of one second's changes that a transaction may take: one that needs all of them may never get its turn. */
 const BURST_PART = 0.5;
--- a/src/base/throttling.ts
+++ b/src/base/throttling.ts
@@ -1,14 +1,14 @@
 /** @file Derives time budgets and intervals from a controller's share of a core. */
 
 /**
- * Limits that follow from a controller's share of a core: how long it computes at a time, and into how many blocks the
+ * Limits that follow from a controller's share of a core: how long it computes at a time, and into how many shards the
  * work is split. Steady time goes on while a process waits for its share of the core: at 6.8%, a millisecond of
  * computing takes fifteen. A budget of steady time that suffices at an eighth of a core would then be used up before any
  * work is done.
  */
 export interface Throttling {
-  /** Into how many blocks teams and machines are split, unless the operator says so. */
-  readonly blocks: number;
+  /** Into how many shards teams and machines are split, unless the operator says so. */
+  readonly shards: number;
   /** Steady time that a round of placement may take, unless the operator says so. */
   readonly roundBudgetMs: number;
   /** The longest pause after a round, which gets a quarter of the time. */
@@ -27,8 +27,8 @@
 export function throttlingFor(cpu: number, controllers: number): Throttling {
   const slower = Math.max(1, ENOUGH_CPU / cpu);
   return {
-    // One block pools spare room; more of them spread reports, rounds and takeovers (docs/EXPERIMENTS.md).
-    blocks: Math.min(controllers, Math.ceil(slower)),
+    // One shard pools spare room; more of them spread reports, rounds and takeovers (docs/EXPERIMENTS.md).
+    shards: Math.min(controllers, Math.ceil(slower)),
     roundBudgetMs: Math.round(ROUND_BUDGET_MS * slower),
     roundPauseMs: Math.round(ROUND_PAUSE_MS * slower),
     watchPaceMs: Math.round(WATCH_PACE_MS * slower),
--- a/src/bookkeeping/ended-jobs.ts
+++ b/src/bookkeeping/ended-jobs.ts
@@ -12,7 +12,7 @@
 
 /**
  * Jobs that ended lately. Tasks of a cancelled job may be on a machine out of reach for as long as the bound on
- * cancellations allows: whoever takes a block over has to know whose limits they fill.
+ * cancellations allows: whoever takes a shard over has to know whose limits they fill.
  */
 export class EndedJobs {
   readonly #windowMs: number;
--- a/src/bookkeeping/records.ts
+++ b/src/bookkeeping/records.ts
@@ -23,8 +23,8 @@
   node: (node: string) => `live/node/${node}`,
   /** The record format that a controller understands; durable, see `FormatGate`. */
   format: (node: string) => `live/format/${node}`,
-  block: (block: number) => `live/block/${block}`,
-  lease: (block: number) => `live/lease/${block}`,
+  shard: (shard: number) => `live/block/${shard}`,
+  lease: (shard: number) => `live/lease/${shard}`,
   machine: (id: string) => `live/machine/${id}`,
   job: (id: string) => `live/job/${id}`,
   /** A part of a job's list of dependencies, where the list doesn't fit the job's record. */
@@ -33,10 +33,10 @@
   /** Completions of the tasks from `first` up to `end`, not included. */
   bits: (id: string, first: number, end: number) => `live/bits/${id}/${first}-${end}`,
   /**
-   * A node relays the leases of a block's workers which reach it and not the owner. `keep` is an older name of that,
+   * A node relays the leases of a shard's workers which reach it and not the owner. `keep` is an older name of that,
    * and stays as the stored key.
    */
-  relay: (block: number, node: string) => `live/keep/${block}/${node}`,
+  relay: (shard: number, node: string) => `live/keep/${shard}/${node}`,
   /** The admission epoch. */
   admission: 'live/admission',
   /** What the teams of a class are granted in the epoch; `name` is derived from the class. */
@@ -47,7 +47,7 @@
 };
 export const PREFIX = {
   node: 'live/node/',
-  block: 'live/block/',
+  shard: 'live/block/',
   machine: 'live/machine/',
   job: 'live/job/',
   dependencyPart: 'live/dependencies/',
@@ -65,12 +65,12 @@
 const formatRecord = z.object({ format: z.int().min(1) });
 const leaderRecord = z.object({ node: z.string() });
 const batonRecord = z.object({ next: count });
-const blockRecord = z.object({
+const shardRecord = z.object({
   owner: z.string(),
   teams: z.array(z.string()),
-  /** The node that took the block last. */
+  /** The node that took the shard last. */
   holder: z.string().optional(),
-  /** How many blocks there are in all. */
+  /** How many shards there are in all. */
   of: z.int().min(1).optional(),
 });
 const leaseRecord = z.object({ owner: z.string(), token: count });
@@ -152,7 +152,7 @@
 export type AdmissionClassRecord = z.infer<typeof admissionClassRecord>;
 export type AdmissionFlowRecord = z.infer<typeof admissionFlowRecord>;
 export type NodeRecord = z.infer<typeof nodeRecord>;
-export type BlockRecord = z.infer<typeof blockRecord>;
+export type ShardRecord = z.infer<typeof shardRecord>;
 export type LeaseRecord = z.infer<typeof leaseRecord>;
 export type MachineRecord = z.infer<typeof machineRecord>;
 export type FinalRecord = z.infer<typeof finalRecord>;
@@ -171,7 +171,7 @@
   format: reader(formatRecord),
   leader: reader(leaderRecord),
   baton: reader(batonRecord),
-  block: reader(blockRecord),
+  shard: reader(shardRecord),
   lease: reader(leaseRecord),
   machine: reader(machineRecord),
   final: reader(finalRecord),
--- a/src/bookkeeping/session.ts
+++ b/src/bookkeeping/session.ts
@@ -12,7 +12,7 @@
 const RENEWALS_PER_LEASE = 6;
 
 /**
- * This node's lease in the state service. Everything that the node holds (membership, leadership, blocks) is bound to
+ * This node's lease in the state service. Everything that the node holds (membership, leadership, shards) is bound to
  * it. The node may act while `valid`: both its last renewal and its view of the records are recent enough.
  */
 export class Session {
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -142,12 +142,14 @@
     .action((file: string, options: { options?: string }) => {
       const settings = readSettings(file, options.options);
       const { node, deployment } = settings.platform;
+      const { shards: blocks, ...pace } = settings.pace;
       const summary = {
         node,
         teams: deployment.teams.length,
-        blockLeaseMs: settings.blockLeaseMs,
+        // The settings name shards `blocks`, and so does this output.
+        blockLeaseMs: settings.shardLeaseMs,
         sockets: settings.sockets,
-        pace: settings.pace,
+        pace: { blocks, ...pace },
         stateLimits: deployment.state,
         stateLimitsAnnounced: settings.nextStateLimits ?? null,
         admission: readAdmissionOptions(settings) ?? null,
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -122,5 +122,5 @@
   void runLoop('usage', () => reportUsage(log, connections, node), { clock: systemClock, log, signal });
   const { bind, back } = platform;
   const startMs = Math.round(systemClock.now());
-  log.info({ bind, back, blockLeaseMs: settings.blockLeaseMs, startMs, code }, 'serving');
+  log.info({ bind, back, shardLeaseMs: settings.shardLeaseMs, startMs, code }, 'serving');
 }
--- a/src/coordination/fleet/fleet-manager.ts
+++ b/src/coordination/fleet/fleet-manager.ts
@@ -1,4 +1,4 @@
-/** @file Rents, records and returns a block's machines. */
+/** @file Rents, records and returns a shard's machines. */
 import { Wake } from '../../base/clock';
 import { describe } from '../../base/loop';
 import { changesAtOnce } from '../../base/state-limits';
@@ -7,12 +7,12 @@
 import type { Guard } from '../../protocol/state';
 import type { NodeContext } from '../node-context';
 import { optionKey, planFleet, type FleetInput, type RentOption, type Rental } from './fleet';
-import type { Machine } from '../block/machine';
-import type { RecordOutcome } from '../block/up-records';
+import type { Machine } from '../shard/machine';
+import type { RecordOutcome } from '../shard/up-records';
 
-/** What the fleet manager needs of the block. */
+/** What the fleet manager needs of the shard. */
 export interface Fleet {
-  readonly block: number;
+  readonly shard: number;
   readonly machines: ReadonlyMap<string, Machine>;
   readonly entitled: boolean;
   /** How many machines report and wait for a record that they are up. */
@@ -43,7 +43,7 @@
 }
 
 /**
- * Rents and returns the block's machines in three independent loops: a cloud that doesn't take machines back can still
+ * Rents and returns the shard's machines in three independent loops: a cloud that doesn't take machines back can still
  * rent, and a slow state service doesn't delay renting.
  */
 export class FleetManager {
@@ -188,8 +188,8 @@
   }
 
   #recordOf({ type, zone, spot, rentedAt }: UnrecordedRental): MachineRecord {
-    const { block } = this.fleet;
-    return { block, address: '', type: type.name, zone, spot, up: false, rentedAt };
+    const { shard } = this.fleet;
+    return { block: shard, address: '', type: type.name, zone, spot, up: false, rentedAt };
   }
 
   #refuse(option: RentOption): void {
--- a/src/coordination/node-services.ts
+++ b/src/coordination/node-services.ts
@@ -59,7 +59,7 @@
 }
 
 function createCloud({ platform, pace }: Settings, { clock, http }: Environment): Cloud {
-  const rate = (platform.deployment.cloud.rps * CLOUD_RATE_PART) / Math.sqrt(pace.blocks);
+  const rate = (platform.deployment.cloud.rps * CLOUD_RATE_PART) / Math.sqrt(pace.shards);
   return new Cloud(http, platform.external.cloud, new RateLimit(clock, rate, CLOUD_BURST), CLOUD_TIMEOUT_MS);
 }
 
@@ -125,10 +125,10 @@
   store: StateStore = createStateStore(settings, environment),
 ): NodeServices {
   const { clock, log, workers, random } = environment;
-  const { platform, blockLeaseMs, pace } = settings;
+  const { platform, shardLeaseMs, pace } = settings;
   const { node } = platform;
-  const cache = new WatchCache(store, LIVE, clock, blockLeaseMs / WATCHES_PER_LEASE, pace.watchPaceMs);
-  const session = new Session(node, blockLeaseMs, store, cache, clock, log);
+  const cache = new WatchCache(store, LIVE, clock, shardLeaseMs / WATCHES_PER_LEASE, pace.watchPaceMs);
+  const session = new Session(node, shardLeaseMs, store, cache, clock, log);
   const announce = (event: Event): void => {
     cache.offer(event);
     environment.broadcast(writePeerMessage({ kind: 'nudge', event }));
--- a/src/coordination/node.ts
+++ b/src/coordination/node.ts
@@ -15,14 +15,14 @@
 import { FixedTimeout } from '../suspicion/peer-liveness';
 import { areMostUnreachable, PeerReachability } from '../suspicion/peer-reachability';
 import type { PeersReport } from '../suspicion/peers-report';
-import type { BlockOwner, OwnAnswer } from './block/block-owner';
+import type { ShardOwner, OwnAnswer } from './shard/shard-owner';
 import type { Environment } from './environment';
 import { CloudView } from './fleet/cloud-view';
 import { JobProgressTable } from './job-progress';
 import type { MachineTypes } from './machine-types';
 import type { NodeContext } from './node-context';
 import { createNodeServices, type NodeServices } from './node-services';
-import { BlockAcquisition } from './ownership/block-acquisition';
+import { ShardAcquisition } from './ownership/shard-acquisition';
 import { Leader } from './ownership/leader';
 import { LeaseExtension } from './ownership/lease-extension';
 import { LeaseRelay } from './ownership/lease-relay';
@@ -45,7 +45,7 @@
   PREFIX.admissionFlow,
 ] as const;
 
-/** Records whose changes concern neither the leader nor the acquisition of blocks. */
+/** Records whose changes concern neither the leader nor the acquisition of shards. */
 function isQuietKey(key: string): boolean {
   return (
     isCompletionKey(key) || key === KEY.admission || QUIET_PREFIXES.some((prefix) => key.startsWith(prefix))
@@ -55,7 +55,7 @@
 /** What a node answers a worker's report. */
 export type ReportAnswer = OwnAnswer | { kind: 'elsewhere'; owner: string | undefined };
 
-/** One controller: its copy of the records, its lease, and the blocks that it owns. */
+/** One controller: its copy of the records, its lease, and the shards that it owns. */
 export class Node {
   readonly jobs: JobStore;
   readonly #context: NodeContext;
@@ -67,7 +67,7 @@
   readonly #leaseExtension: LeaseExtension;
   readonly #reachability: PeerReachability;
   readonly #leaseRelay: LeaseRelay;
-  readonly #acquisition: BlockAcquisition;
+  readonly #acquisition: ShardAcquisition;
   readonly #progress: JobProgressTable;
   readonly #leaderWake: Wake;
   readonly #ownerWake: Wake;
@@ -89,7 +89,7 @@
     const liveness = context.suspicion ?? new FixedTimeout(clock);
     this.#reachability = new PeerReachability(clock, liveness);
     this.#cloudView = new CloudView(context.cloud, clock);
-    this.#leader = new Leader(context, this.#cloudView, () => !this.#leaseExtension.mayAcquireBlocks);
+    this.#leader = new Leader(context, this.#cloudView, () => !this.#leaseExtension.mayAcquireShards);
     this.#epochWriter = this.#createEpochWriter(services);
     this.#leaseExtension = new LeaseExtension(
       context,
@@ -99,7 +99,7 @@
       () => this.#acquisition.isAcquiring,
       environment.startedAt,
     );
-    this.#acquisition = new BlockAcquisition(context, this.#reachability, this.#leaseExtension);
+    this.#acquisition = new ShardAcquisition(context, this.#reachability, this.#leaseExtension);
     this.#leaseRelay = new LeaseRelay(context, this.#reachability);
     this.#leaderWake = new Wake(clock);
     this.#ownerWake = new Wake(clock);
@@ -142,7 +142,7 @@
       await this.#leaderWake.wait(LEADER_PAUSE_MS);
       await this.#leader.step();
     });
-    loop('blocks', async () => {
+    loop('shards', async () => {
       await this.#ownerWake.wait(OWNER_PAUSE_MS);
       await this.#acquisition.step();
     });
@@ -177,7 +177,7 @@
     return this.#context.cache.loaded && this.types.length > 0;
   }
 
-  get owners(): ReadonlyMap<number, BlockOwner> {
+  get owners(): ReadonlyMap<number, ShardOwner> {
     return this.#acquisition.owners;
   }
 
@@ -317,7 +317,7 @@
     const state = {
       from: node,
       fresh: this.#fresh,
-      unheard: unheard.map((owner) => owner.block),
+      unheard: unheard.map((owner) => owner.shard),
       turnedAway: this.#reachability.redirected(),
       ...(suspicion && { view: suspicion.view() }),
     };
--- a/src/coordination/ownership/contenders.ts
+++ b/src/coordination/ownership/contenders.ts
@@ -1,5 +1,5 @@
-/** @file The controllers that could own a block, as the records have them. */
-import { blockCount } from '../../bookkeeping/block-count';
+/** @file The controllers that could own a shard, as the records have them. */
+import { shardCount } from '../../bookkeeping/shard-count';
 import { KEY, PREFIX, read } from '../../bookkeeping/records';
 import type { Contender } from '../../suspicion/suspicion';
 import type { NodeContext } from '../node-context';
@@ -11,12 +11,12 @@
     .map((entry) => entry.key.slice(PREFIX.node.length));
 }
 
-/** How many blocks are assigned to each live controller. */
-export function blocksByNode(context: NodeContext): Map<string, number> {
+/** How many shards are assigned to each live controller. */
+export function shardsByNode(context: NodeContext): Map<string, number> {
   const { cache, settings } = context;
   const counts = new Map(liveNodes(context).map((node) => [node, 0]));
-  for (let block = 0; block < blockCount(cache, settings); block += 1) {
-    const owner = read.block(cache.get(KEY.block(block))?.value)?.owner;
+  for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
+    const owner = read.shard(cache.get(KEY.shard(shard))?.value)?.owner;
     const count = owner === undefined ? undefined : counts.get(owner);
     if (owner !== undefined && count !== undefined) counts.set(owner, count + 1);
   }
@@ -24,24 +24,24 @@
 }
 
 /** The live controllers with what the choice of an owner goes by. */
-export function contenders(context: NodeContext, blocks: ReadonlyMap<string, number>): Contender[] {
+export function contenders(context: NodeContext, shards: ReadonlyMap<string, number>): Contender[] {
   const missing = context.formatGate.missing();
-  return [...blocks].map(([node, count]) => ({ node, blocks: count, isUpgraded: !missing.includes(node) }));
+  return [...shards].map(([node, count]) => ({ node, shards: count, isUpgraded: !missing.includes(node) }));
 }
 
 /**
- * The controllers in the order in which they are to own a block: those with the fewest blocks first, and among equals
- * those that have been upgraded, since one that is still to be restarted would soon lose its block again. With suspicion
+ * The controllers in the order in which they are to own a shard: those with the fewest shards first, and among equals
+ * those that have been upgraded, since one that is still to be restarted would soon lose its shard again. With suspicion
  * on, suspects come last.
  */
 export function rankOwners(
   context: NodeContext,
-  block: number,
-  blocks: ReadonlyMap<string, number>,
+  shard: number,
+  shards: ReadonlyMap<string, number>,
 ): string[] {
-  const candidates = contenders(context, blocks);
-  if (context.suspicion) return context.suspicion.rank(block, candidates);
+  const candidates = contenders(context, shards);
+  if (context.suspicion) return context.suspicion.rank(shard, candidates);
   return candidates
-    .sort((a, b) => a.blocks - b.blocks || Number(b.isUpgraded) - Number(a.isUpgraded))
+    .sort((a, b) => a.shards - b.shards || Number(b.isUpgraded) - Number(a.isUpgraded))
     .map(({ node }) => node);
 }
--- a/src/coordination/ownership/leader.ts
+++ b/src/coordination/ownership/leader.ts
@@ -1,6 +1,6 @@
 import { changesAtOnce } from '../../base/state-limits';
-import { blockCount } from '../../bookkeeping/block-count';
-import { KEY, PREFIX, read, type BlockRecord } from '../../bookkeeping/records';
+import { shardCount } from '../../bookkeeping/shard-count';
+import { KEY, PREFIX, read, type MachineRecord, type ShardRecord } from '../../bookkeeping/records';
 import type { Guard } from '../../protocol/state';
 import { liveNodes, rankOwners } from './contenders';
 import { RecordSweep } from './record-sweep';
@@ -12,7 +12,7 @@
 const SWEPT_AT_ONCE = 8;
 
 /**
- * The leader leases blocks to live nodes, takes machines that no record names into a block, and deletes completions of
+ * The leader leases shards to live nodes, takes machines that no record names into a shard, and deletes completions of
  * jobs that are over. It does no more.
  */
 export class Leader {
@@ -58,59 +58,59 @@
     const load = new Map(liveNodes(this.deps).map((node) => [node, 0]));
     if (load.size === 0) return;
     const orphans: number[] = [];
-    for (let block = 0; block < blockCount(cache, settings); block += 1) {
-      const record = read.block(cache.get(KEY.block(block))?.value);
-      if (record && this.#wantsBack(record, block, load)) {
-        await this.#give(block, record.holder);
+    for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
+      const record = read.shard(cache.get(KEY.shard(shard))?.value);
+      if (record && this.#wantsBack(record, shard, load)) {
+        await this.#give(shard, record.holder);
         return;
       }
       const held = record && load.get(record.owner);
-      if (record && held !== undefined && !this.#isStuck(block, record)) load.set(record.owner, held + 1);
-      else orphans.push(block);
+      if (record && held !== undefined && !this.#isStuck(shard, record)) load.set(record.owner, held + 1);
+      else orphans.push(shard);
     }
-    for (const block of orphans) {
-      const [owner] = rankOwners(this.deps, block, load);
+    for (const shard of orphans) {
+      const [owner] = rankOwners(this.deps, shard, load);
       if (owner === undefined) return;
-      const isThere = read.block(cache.get(KEY.block(block))?.value)?.owner === owner;
-      if (!isThere && !(await this.#give(block, owner))) return;
+      const isThere = read.shard(cache.get(KEY.shard(shard))?.value)?.owner === owner;
+      if (!isThere && !(await this.#give(shard, owner))) return;
       load.set(owner, (load.get(owner) ?? 0) + 1);
     }
     await this.#balance(load);
   }
 
   /**
-   * Whether the controller that a block was assigned to is suspected before it has acquired it. Another may then be
+   * Whether the controller that a shard was assigned to is suspected before it has acquired it. Another may then be
    * chosen at once, since nobody holds the lease: whichever acquires it first finds the record unchanged, or doesn't.
    */
-  #isStuck(block: number, { owner }: BlockRecord): boolean {
+  #isStuck(shard: number, { owner }: ShardRecord): boolean {
     const { suspicion, cache, node } = this.deps;
-    if (!suspicion || owner === node || cache.get(KEY.lease(block))) return false;
+    if (!suspicion || owner === node || cache.get(KEY.lease(shard))) return false;
     return suspicion.isSuspect(owner) && suspicion.mayChooseAgain();
   }
 
-  /** After the end of all nodes the one that held the block last may take it at once; the others wait a while. */
+  /** After the end of all nodes the one that held the shard last may take it at once; the others wait a while. */
   #wantsBack(
-    record: BlockRecord,
-    block: number,
+    record: ShardRecord,
+    shard: number,
     nodes: ReadonlyMap<string, number>,
-  ): record is BlockRecord & { holder: string } {
+  ): record is ShardRecord & { holder: string } {
     const { owner, holder } = record;
     if (!this.isYoung() || holder === undefined || holder === owner || !nodes.has(holder)) return false;
     if (this.deps.suspicion?.isSuspect(holder)) return false;
-    return this.deps.cache.get(KEY.lease(block)) === undefined;
+    return this.deps.cache.get(KEY.lease(shard)) === undefined;
   }
 
-  /** After a death some node has more blocks than another that came back: one at a time, they are spread again. */
+  /** After a death some node has more shards than another that came back: one at a time, they are spread again. */
   async #balance(load: ReadonlyMap<string, number>): Promise<void> {
     const { cache, settings, suspicion } = this.deps;
     const sorted = [...load].sort((a, b) => a[1] - b[1]);
     const least = sorted.find(([node]) => !suspicion?.isSuspect(node));
     const most = sorted.at(-1);
     if (!least || !most || most[1] - least[1] < 2) return;
-    for (let block = 0; block < blockCount(cache, settings); block += 1) {
-      if (read.block(cache.get(KEY.block(block))?.value)?.owner !== most[0]) continue;
-      if (suspicion?.mayMove(block) === false) continue;
-      await this.#give(block, least[0]);
+    for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
+      if (read.shard(cache.get(KEY.shard(shard))?.value)?.owner !== most[0]) continue;
+      if (suspicion?.mayMove(shard) === false) continue;
+      await this.#give(shard, least[0]);
       return;
     }
   }
@@ -123,18 +123,18 @@
     return this.isLeader ? { key: KEY.leader, version: this.deps.cache.version(KEY.leader) } : undefined;
   }
 
-  async #give(block: number, owner: string): Promise<boolean> {
+  async #give(shard: number, owner: string): Promise<boolean> {
     const { cache, store, settings, log } = this.deps;
     const leadership = this.leadership();
     if (!leadership) return false;
     const { teams } = settings.platform.deployment;
-    const blocks = blockCount(cache, settings);
-    const key = KEY.block(block);
-    const value: BlockRecord = {
-      ...read.block(cache.get(key)?.value),
+    const shards = shardCount(cache, settings);
+    const key = KEY.shard(shard);
+    const value: ShardRecord = {
+      ...read.shard(cache.get(key)?.value),
       owner,
-      of: blocks,
-      teams: teams.filter((_, index) => index % blocks === block).map((t) => t.name),
+      of: shards,
+      teams: teams.filter((_, index) => index % shards === shard).map((t) => t.name),
     };
     const result = await store.txn(
       [{ key, version: cache.version(key) }, leadership],
@@ -142,7 +142,7 @@
       true,
     );
     if (!result.ok) return false;
-    log.info({ block, owner }, 'block assigned');
+    log.info({ shard, owner }, 'shard assigned');
     this.deps.announce({ key, version: result.revision, value, deleted: false });
     return true;
   }
@@ -158,24 +158,22 @@
     const leadership = this.leadership();
     if (strays.length === 0 || !leadership) return;
     const machinesOf = new Map<number, number>();
-    for (let block = 0; block < blockCount(cache, settings); block += 1) machinesOf.set(block, 0);
+    for (let shard = 0; shard < shardCount(cache, settings); shard += 1) machinesOf.set(shard, 0);
     for (const entry of cache.under(PREFIX.machine)) {
-      const block = read.machine(entry.value)?.block ?? 0;
-      machinesOf.set(block, (machinesOf.get(block) ?? 0) + 1);
+      const shard = read.machine(entry.value)?.block ?? 0;
+      machinesOf.set(shard, (machinesOf.get(shard) ?? 0) + 1);
     }
-    const [block] = [...machinesOf].sort((a, b) => a[1] - b[1])[0] ?? [0];
-    const changes = strays.map((m) => ({
-      put: KEY.machine(m.id),
-      value: {
-        ...{ block, address: '', type: m.type, zone: m.zone, spot: m.spot, up: false },
-        // Counted from now: it has its time to come up like any other, though it was rented long ago.
-        rentedAt: clock.date().getTime(),
-      },
-    }));
+    const [shard] = [...machinesOf].sort((a, b) => a[1] - b[1])[0] ?? [0];
+    // Counted from now: each has its time to come up like any other, though it was rented long ago.
+    const rentedAt = clock.date().getTime();
+    const changes = strays.map(({ id, type, zone, spot }) => {
+      const value: MachineRecord = { block: shard, address: '', type, zone, spot, up: false, rentedAt };
+      return { put: KEY.machine(id), value };
+    });
     const guards = changes.map((c) => ({ key: c.put, version: 0 }));
     const result = await store.txn([leadership, ...guards], changes);
     if (!result.ok) return;
-    log.info({ block, machines: strays.map((m) => m.id) }, 'strays taken in');
+    log.info({ shard, machines: strays.map((m) => m.id) }, 'strays taken in');
     for (const c of changes) {
       this.deps.announce({ key: c.put, version: result.revision, value: c.value, deleted: false });
     }
--- a/src/coordination/ownership/lease-extension.ts
+++ b/src/coordination/ownership/lease-extension.ts
@@ -1,8 +1,8 @@
 /**
- * @file Extension of a block owner's lease by its peers during an outage of the state service.
+ * @file Extension of a shard owner's lease by its peers during an outage of the state service.
  */
 import { PROMISE_MS } from '../../base/settings';
-import { blockCount } from '../../bookkeeping/block-count';
+import { shardCount } from '../../bookkeeping/shard-count';
 import { KEY, PREFIX, read } from '../../bookkeeping/records';
 import { DRIFT } from '../../bookkeeping/session';
 import type { LeaseExtensionGrant, LeaseExtensionRequest, PeerMessage } from '../../protocol/peers';
@@ -15,12 +15,12 @@
 const REMEMBERED_REQUESTS = 10;
 
 /**
- * Extends the right of a block owner to act while nobody can reach the state service.
+ * Extends the right of a shard owner to act while nobody can reach the state service.
  *
  * An owner that can't renew its lease can't tell an outage for all from a refusal of itself alone, so without help it
- * has to stop when its lease ends by its own clock, although in an outage no other node could acquire its blocks. It
+ * has to stop when its lease ends by its own clock, although in an outage no other node could acquire its shards. It
  * therefore sends a request to all peers. A peer that can't reach the state service either grants it: the peer then
- * acquires no block for `PROMISE_MS`. The owner goes on only with grants of all other nodes; one peer that doesn't
+ * acquires no shard for `PROMISE_MS`. The owner goes on only with grants of all other nodes; one peer that doesn't
  * answer, or that can reach the state service, is enough to stop it.
  */
 export class LeaseExtension {
@@ -33,7 +33,7 @@
   constructor(
     private readonly deps: NodeContext,
     private readonly broadcast: (message: PeerMessage) => void,
-    /** Whether this node is acquiring a block at this moment. */
+    /** Whether this node is acquiring a shard at this moment. */
     private readonly isAcquiring: () => boolean,
     /** Steady time at which this process began. */
     startedAt: number,
@@ -42,8 +42,8 @@
     this.#boundUntil = startedAt + PROMISE_MS * (1 + DRIFT);
   }
 
-  /** Whether no grant given by this node forbids it to acquire a block. */
-  get mayAcquireBlocks(): boolean {
+  /** Whether no grant given by this node forbids it to acquire a shard. */
+  get mayAcquireShards(): boolean {
     return this.deps.clock.now() > this.#boundUntil;
   }
 
@@ -61,10 +61,10 @@
     });
   }
 
-  /** Grants a peer's request, or ignores it when this node can reach the state service or has the peer's block. */
+  /** Grants a peer's request, or ignores it when this node can reach the state service or has the peer's shard. */
   onRequest(request: LeaseExtensionRequest): void {
     const { clock, store, cache, node } = this.deps;
-    if (!store.troubled || this.isAcquiring() || this.#lostBlock(request.from)) return;
+    if (!store.troubled || this.isAcquiring() || this.#lostShard(request.from)) return;
     const ended = cache.deletedSince(PREFIX.job, request.revision);
     // The grant has to name the cancellations that the requester may have missed: it would not learn of them while it
     // acts by grants. If this node no longer remembers all of them, it must not grant.
@@ -97,12 +97,12 @@
     session.prolong(until);
   }
 
-  /** Whether a block assigned to the node is leased by another, which the node may be unable to see. */
-  #lostBlock(node: string): boolean {
+  /** Whether a shard assigned to the node is leased by another, which the node may be unable to see. */
+  #lostShard(node: string): boolean {
     const { cache, settings } = this.deps;
-    for (let block = 0; block < blockCount(cache, settings); block += 1) {
-      const lease = read.lease(cache.get(KEY.lease(block))?.value);
-      const assigned = read.block(cache.get(KEY.block(block))?.value);
+    for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
+      const lease = read.lease(cache.get(KEY.lease(shard))?.value);
+      const assigned = read.shard(cache.get(KEY.shard(shard))?.value);
       if (assigned?.owner === node && lease?.owner !== node) return true;
     }
     return false;
--- a/src/coordination/ownership/lease-relay.ts
+++ b/src/coordination/ownership/lease-relay.ts
@@ -1,7 +1,7 @@
 /**
  * @file Relay of worker leases: answers another node's workers while they reach this node and not their owner.
  */
-import { blockCount } from '../../bookkeeping/block-count';
+import { shardCount } from '../../bookkeeping/shard-count';
 import { KEY, read } from '../../bookkeeping/records';
 import type { WatchCache } from '../../bookkeeping/watch-cache';
 import type { Order, Report } from '../../protocol/model';
@@ -23,14 +23,14 @@
  * Renews the leases of another node's workers while they reach this node and not their owner, as in a network
  * partition between zones or during a takeover.
  *
- * A relay answers reports with the block's current token and starts nothing; it only stops tasks of jobs that are over.
+ * A relay answers reports with the shard's current token and starts nothing; it only stops tasks of jobs that are over.
  * The owner must not declare such workers dead. So a relay first writes a record that it relays, which is bound to its
  * own lease, and answers only while that lease is valid; the owner declares an unresponsive worker dead only when the
  * state service says that no such record exists.
  */
 export class LeaseRelay {
   /**
-   * Blocks with an acknowledged record of this node that was not deleted since, and the lease that the record is bound
+   * Shards with an acknowledged record of this node that was not deleted since, and the lease that the record is bound
    * to: with the next lease the record is gone, even when no step ran in between.
    */
   readonly #relayed = new Map<number, number>();
@@ -53,61 +53,61 @@
       return;
     }
     const now = this.deps.clock.now();
-    for (let block = 0; block < blockCount(cache, settings); block += 1) {
-      const needed = this.#isNeeded(block, now);
-      if (needed && this.#relayed.get(block) !== ownLease) {
-        await this.#writeRecord(block, ownLease);
-      } else if (!needed && (this.#relayed.has(block) || cache.get(this.#key(block)))) {
-        await this.#deleteRecord(block);
+    for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
+      const needed = this.#isNeeded(shard, now);
+      if (needed && this.#relayed.get(shard) !== ownLease) {
+        await this.#writeRecord(shard, ownLease);
+      } else if (!needed && (this.#relayed.has(shard) || cache.get(this.#key(shard)))) {
+        await this.#deleteRecord(shard);
       }
     }
   }
 
-  /** Whether the owner of the block is another node that is unreachable, or was until a moment ago. */
-  #isNeeded(block: number, now: number): boolean {
+  /** Whether the owner of the shard is another node that is unreachable, or was until a moment ago. */
+  #isNeeded(shard: number, now: number): boolean {
     const { cache, node } = this.deps;
-    const lease = read.lease(cache.get(KEY.lease(block))?.value);
+    const lease = read.lease(cache.get(KEY.lease(shard))?.value);
     if (lease === undefined || lease.owner === node) return false;
     // A node that starts has not received anything from its peers yet. If it relayed then for no reason, unresponsive
-    // workers would count as just answered, and a block that was taken over would wait for them for another lease.
+    // workers would count as just answered, and a shard that was taken over would wait for them for another lease.
     const hasListened = now - this.#startedAt > PEER_TIMEOUT_MS;
-    if (hasListened && !this.reachability.reaches(lease.owner, block)) this.#neededAt.set(block, now);
-    return now - (this.#neededAt.get(block) ?? -Infinity) < LINGER_MS;
+    if (hasListened && !this.reachability.reaches(lease.owner, shard)) this.#neededAt.set(shard, now);
+    return now - (this.#neededAt.get(shard) ?? -Infinity) < LINGER_MS;
   }
 
-  async #writeRecord(block: number, ownLease: number): Promise<void> {
-    const key = this.#key(block);
+  async #writeRecord(shard: number, ownLease: number): Promise<void> {
+    const key = this.#key(shard);
     const result = await this.deps.store.txn(
       [{ key, version: this.deps.cache.version(key) }],
       [{ put: key, value: {}, lease: ownLease }],
       true,
     );
-    if (result.ok) this.#relayed.set(block, ownLease);
+    if (result.ok) this.#relayed.set(shard, ownLease);
   }
 
-  async #deleteRecord(block: number): Promise<void> {
-    const key = this.#key(block);
+  async #deleteRecord(shard: number): Promise<void> {
+    const key = this.#key(shard);
     // In this order: no report is answered any more when the record goes.
-    this.#relayed.delete(block);
+    this.#relayed.delete(shard);
     await this.deps.store.txn([{ key, version: this.deps.cache.version(key) }], [{ delete: key }], true);
   }
 
-  #key(block: number): string {
-    return KEY.relay(block, this.deps.node);
+  #key(shard: number): string {
+    return KEY.relay(shard, this.deps.node);
   }
 
   /**
-   * The answer to a worker's report if this node relays its block; only for a machine that holds tasks. Never by virtue
+   * The answer to a worker's report if this node relays its shard; only for a machine that holds tasks. Never by virtue
    * of a lease extension: during an outage of the state service nobody raises the token, so a start command of the owner
    * that is delayed beyond the partition could still be carried out for as long as the relay answers, though its job was
    * cancelled long ago.
    */
-  answer(report: Report, block: number): { token: number; orders: Order[] } | undefined {
+  answer(report: Report, shard: number): { token: number; orders: Order[] } | undefined {
     const { cache, session, node } = this.deps;
-    const isRelayed = session.lease !== undefined && this.#relayed.get(block) === session.lease;
+    const isRelayed = session.lease !== undefined && this.#relayed.get(shard) === session.lease;
     if (!isRelayed || !session.validByOwnLease || report.attempts.length === 0) return undefined;
-    const lease = read.lease(cache.get(KEY.lease(block))?.value);
-    if (!lease || lease.owner === node || this.reachability.reaches(lease.owner, block)) return undefined;
+    const lease = read.lease(cache.get(KEY.lease(shard))?.value);
+    if (!lease || lease.owner === node || this.reachability.reaches(lease.owner, shard)) return undefined;
     return { token: lease.token, orders: stopsOfEnded(report, cache) };
   }
 }
--- a/src/coordination/scheduling/eager.ts
+++ b/src/coordination/scheduling/eager.ts
@@ -5,7 +5,7 @@
   /** Steady time of its last report, or since when one is waited for. */
   readonly heardAt: number;
   readonly busy: boolean;
-  /** Nothing in the block can be issued before it is known what is on it. */
+  /** Nothing in the shard can be issued before it is known what is on it. */
   readonly holdsUp: boolean;
 }
 
@@ -16,7 +16,7 @@
   readonly missedMs: number;
   /** After this long its stop is confirmed by releasing it. */
   readonly releaseMs: number;
-  /** The same for one that holds up the block. */
+  /** The same for one that holds up the shard. */
   readonly heldUpMs: number;
 }
 
--- a/src/coordination/block/attempts.ts
+++ b/src/coordination/shard/attempts.ts
@@ -1,5 +1,5 @@
 import { attemptKey, type Job } from '../../protocol/model';
-import type { Block } from './block';
+import type { Shard } from './shard';
 import type { NodeContext } from '../node-context';
 import type { DispatchTable } from './dispatch-table';
 import { Health } from './health';
@@ -22,7 +22,7 @@
   readonly #ended = new Map<Attempt, Machine>();
 
   constructor(
-    private readonly block: Block,
+    private readonly shard: Shard,
     private readonly deps: NodeContext,
     /** A task completed. */
     private readonly completed: () => void,
@@ -31,21 +31,21 @@
   ) {}
 
   describe(id: string): Described {
-    const job = this.block.tables.get(id)?.job;
+    const job = this.shard.tables.get(id)?.job;
     return job ? described(job) : NO_NEEDS;
   }
 
   issue({ job, machine: id, aged }: Placement, now: number): void {
-    const table = this.block.tables.get(job);
-    const machine = this.block.machines.get(id);
+    const table = this.shard.tables.get(job);
+    const machine = this.shard.machines.get(id);
     const task = table?.nextUnassigned() ?? -1;
     if (!table || !machine || task < 0) return;
     // Attempts are issued here and nowhere else, so whatever chose this job, nothing of it starts too early.
-    if (!this.block.isReady(table)) {
+    if (!this.shard.isReady(table)) {
       this.deps.log.error({ job }, 'a job was placed before its dependencies are done');
       return;
     }
-    const number = attemptNumber(this.block.token, this.block.nextCounter());
+    const number = attemptNumber(this.shard.token, this.shard.nextCounter());
     const key = attemptKey(job, task, number);
     machine.put({
       ...{ key, job, task, attempt: number, ...described(table.job), aged },
@@ -67,9 +67,9 @@
   }
 
   closeJob(id: string): void {
-    if (!this.block.tables.delete(id)) return;
-    for (const [attempt, machine] of this.block.holdings.ofJob(id)) this.#end(machine, attempt);
-    this.block.wake();
+    if (!this.shard.tables.delete(id)) return;
+    for (const [attempt, machine] of this.shard.holdings.ofJob(id)) this.#end(machine, attempt);
+    this.shard.wake();
   }
 
   #end(machine: Machine, attempt: Attempt): void {
@@ -102,14 +102,14 @@
 
   apply(machine: Machine, changes: readonly Change[]): void {
     for (const { kind, attempt } of changes) {
-      const table = this.block.tables.get(attempt.job);
+      const table = this.shard.tables.get(attempt.job);
       if (kind === 'found') this.#found(machine, attempt, table);
       else if (kind === 'exited') this.#exited(machine, attempt, table);
       else if (kind === 'gone' && table) this.#lost(table, attempt);
     }
     if (changes.length > 0) {
       if (!machine.busy) machine.idleSince = this.deps.clock.now();
-      this.block.wake();
+      this.shard.wake();
     }
   }
 
@@ -135,7 +135,7 @@
    */
   #lost(table: DispatchTable, attempt: Attempt): void {
     if (!table.lost(attempt.task, attempt.key)) return;
-    for (const [other, machine] of this.block.holdings.ofJob(attempt.job)) {
+    for (const [other, machine] of this.shard.holdings.ofJob(attempt.job)) {
       if (other.task !== attempt.task || other.key === attempt.key) continue;
       table.issue(other.task, machine.id, other.key);
       return;
@@ -144,10 +144,10 @@
 
   /** Once every machine is known, attempts that nobody has any use for are stopped. */
   stopSurplus(): void {
-    if (!this.block.allKnown || !this.#maybeSurplus) return;
+    if (!this.shard.allKnown || !this.#maybeSurplus) return;
     this.#maybeSurplus = false;
-    for (const table of this.block.tables.values()) {
-      for (const [attempt, machine] of this.block.holdings.ofJob(table.job.id)) {
+    for (const table of this.shard.tables.values()) {
+      for (const [attempt, machine] of this.shard.holdings.ofJob(table.job.id)) {
         if (attempt.stop || table.issued.get(attempt.task)?.key === attempt.key) continue;
         this.want(machine, attempt, 0);
       }
@@ -162,10 +162,10 @@
     if (cause === 'done') {
       if (table.complete(task)) {
         if (attempt.runningSince !== undefined)
-          this.block.estimates.learn(table.job, (now - attempt.runningSince) / 1000);
+          this.shard.estimates.learn(table.job, (now - attempt.runningSince) / 1000);
         this.completed();
         // Another attempt of it may be under way, if this one was taken for lost.
-        for (const [other] of this.block.holdings.ofJob(job)) {
+        for (const [other] of this.shard.holdings.ofJob(job)) {
           if (other.task === task) this.#maybeSurplus = true;
         }
       }
@@ -195,14 +195,14 @@
   /** All that was on the machine is gone. */
   dropAll(machine: Machine): void {
     const changes = machine.dropAll();
-    this.block.settle(machine);
+    this.shard.settle(machine);
     this.apply(machine, changes);
   }
 
   /** How many attempts of a job run. */
   runningOf(job: string): number {
     let running = 0;
-    for (const [a] of this.block.holdings.ofJob(job)) {
+    for (const [a] of this.shard.holdings.ofJob(job)) {
       if (a.phase === 'running' || a.phase === 'saving') running += 1;
     }
     return running;
--- a/src/coordination/block/commander.ts
+++ b/src/coordination/shard/commander.ts
@@ -1,7 +1,7 @@
 import { describe } from '../../base/loop';
 import type { Order, Report } from '../../protocol/model';
 import type { Attempts } from './attempts';
-import type { Block } from './block';
+import type { Shard } from './shard';
 import { sendCommand, type CommandResult } from './commands';
 import type { NodeContext } from '../node-context';
 import { issueToken, type Attempt, type Machine } from './machine';
@@ -30,7 +30,7 @@
   readonly #askedLately = new Set<Machine>();
 
   constructor(
-    private readonly block: Block,
+    private readonly shard: Shard,
     private readonly attempts: () => Attempts,
     private readonly deps: NodeContext,
     private readonly absorb: (machine: Machine, report: Report) => void,
@@ -54,9 +54,9 @@
 
   /** Sends what is due, as far as sockets allow; the rest goes out as answers come in. */
   flush(): void {
-    const most = this.block.workersAreComing(this.deps.clock.now()) ? OUT_WHILE_THEY_COME : this.#mostOut;
+    const most = this.shard.workersAreComing(this.deps.clock.now()) ? OUT_WHILE_THEY_COME : this.#mostOut;
     for (const machine of this.#due) {
-      if (this.#out.size >= most || !this.block.entitled) return;
+      if (this.#out.size >= most || !this.shard.entitled) return;
       if (this.#out.has(machine)) continue;
       this.#due.delete(machine);
       this.#command(machine, false);
@@ -68,11 +68,11 @@
    * those that seem to hear nothing. The longest unasked go first, the next as answers come in.
    */
   ask(now: number): void {
-    const due = new Set(this.block.workersAreComing(now) ? [] : this.block.unsettled);
+    const due = new Set(this.shard.workersAreComing(now) ? [] : this.shard.unsettled);
     // Workers that another node keeps may be within our reach all the same: their reports go there, so we ask.
-    const kept = this.block.isKept;
-    for (const m of this.block.machines.values()) {
-      if (m.deafSince !== undefined || (kept && m.isSilent(now, this.block.timing.missedMs))) due.add(m);
+    const kept = this.shard.isKept;
+    for (const m of this.shard.machines.values()) {
+      if (m.deafSince !== undefined || (kept && m.isSilent(now, this.shard.timing.missedMs))) due.add(m);
     }
     this.#listedAt = now;
     this.#askedLately.clear();
@@ -82,7 +82,7 @@
 
   #askNext(): void {
     const now = this.deps.clock.now();
-    while (this.#out.size < this.#mostOut && this.#askedLately.size < MOST_ASKED && this.block.entitled) {
+    while (this.#out.size < this.#mostOut && this.#askedLately.size < MOST_ASKED && this.shard.entitled) {
       const machine = this.#toAsk.pop();
       if (!machine) return;
       // What it reported meanwhile may have told what was to be asked.
@@ -103,7 +103,7 @@
       if (orders.length >= MAX_ORDERS) break;
       const { job, task, attempt: number } = attempt;
       if (attempt.phase === 'exited') {
-        const table = this.block.tables.get(job);
+        const table = this.shard.tables.get(job);
         // A completion is forgotten only once it is recorded: until then the worker is who remembers it.
         const settled = attempt.cause !== 'done' || !table || table.recorded.has(task);
         if (settled && machine.mayForget(attempt)) orders.push({ op: 'forget', job, task, attempt: number });
@@ -121,12 +121,12 @@
 
   /** Sends the difference straight to the worker; with `asks` also when there is none, to hear from it. */
   #command(machine: Machine, asks: boolean): void {
-    if (machine.record.address === '' || machine.gone || !this.block.entitled) return;
+    if (machine.record.address === '' || machine.gone || !this.shard.entitled) return;
     const unsent = [...machine.attempts.values()].filter((a) => !a.posted);
     for (const attempt of unsent) {
       // A start that has not left and is no longer wanted never will. Nor will one that was numbered under an
       // earlier token: its number must name the token that it is sent with, for that is what ends all doubt about it.
-      if (attempt.stop || issueToken(attempt.attempt) !== this.block.token)
+      if (attempt.stop || issueToken(attempt.attempt) !== this.shard.token)
         this.attempts().neverStarted(machine, attempt.key);
     }
     // What is asked of a machine that hears nothing holds no starts: they would be stuck there.
@@ -142,16 +142,16 @@
     const session = machine.session > 0 ? machine.session : machine.sessionHint;
     const command = {
       address: machine.record.address,
-      token: this.block.token,
+      token: this.shard.token,
       session,
       orders,
-      mayLeave: () => this.block.entitled,
+      mayLeave: () => this.shard.entitled,
     };
     void sendCommand(this.deps.workers, command)
       .then((result) => {
         this.#out.delete(machine);
         this.#askedLately.delete(machine);
-        if (this.block.machines.get(machine.id) === machine && !machine.gone) {
+        if (this.shard.machines.get(machine.id) === machine && !machine.gone) {
           this.#answered(machine, session, sent, result);
         }
         this.flush();
@@ -175,7 +175,7 @@
       if (result.kind === 'not sent') machine.avoid(now);
     }
     if (sent.some((a) => a.phase === 'sent' && machine.attempts.get(a.key) === a))
-      this.block.startsInDoubt = true;
+      this.shard.startsInDoubt = true;
     if (machine.unanswered) {
       this.deps.log.debug({ machine: machine.id, result: result.kind }, 'command unanswered');
       if (result.kind === 'unknown') {
@@ -186,7 +186,7 @@
       // What was placed here meanwhile goes elsewhere: the machine may be hanging.
       for (const attempt of [...machine.attempts.values()])
         if (!attempt.posted) this.attempts().neverStarted(machine, attempt.key);
-      this.block.wake();
+      this.shard.wake();
       return;
     }
     // The first command to a machine whose session we did not know yet is refused; the answer tells it.
--- a/src/coordination/block/holdings.ts
+++ b/src/coordination/shard/holdings.ts
@@ -4,7 +4,7 @@
 const NO_ZONES: ReadonlyMap<string, number> = new Map();
 
 /**
- * What the attempts of a block hold, summed up by team, by job and zone, and indexed by job. Kept up to date as
+ * What the attempts of a shard hold, summed up by team, by job and zone, and indexed by job. Kept up to date as
  * attempts come and go: with a thousand machines no round or message can afford to count again.
  */
 export class Holdings implements RoomWatcher {
--- a/src/coordination/block/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -80,7 +80,7 @@
   imageGb: number;
 }
 
-/** One machine as its block's owner knows it: what is on it, or may be. */
+/** One machine as its shard's owner knows it: what is on it, or may be. */
 export class Machine {
   readonly #attempts = new Map<string, Attempt>();
   /** Sums over the attempts that hold room, kept up to date: rounds ask for them for every machine. */
--- a/src/coordination/block/recorder.ts
+++ b/src/coordination/shard/recorder.ts
@@ -1,17 +1,17 @@
 import { Wake } from '../../base/clock';
 import { changesAtOnce, valueBytes } from '../../base/state-limits';
-import { blockCount } from '../../bookkeeping/block-count';
+import { shardCount } from '../../bookkeeping/shard-count';
 import { completionLayout, groupByRecord, readCompletions } from '../../bookkeeping/completion-records';
 import { KEY, type FinalRecord } from '../../bookkeeping/records';
 import type { Change, Guard } from '../../protocol/state';
 import type { NodeContext } from '../node-context';
 import type { DispatchTable } from './dispatch-table';
 
-/** What the recorder needs of the block. */
+/** What the recorder needs of the shard. */
 export interface Recorded {
   readonly tables: ReadonlyMap<string, DispatchTable>;
   readonly entitled: boolean;
-  /** The guard that proves, inside every transaction, that we still own the block. */
+  /** The guard that proves, inside every transaction, that we still own the shard. */
   leaseGuard(): Guard;
   /** The job is over: done or cancelled. */
   closeJob(id: string): void;
@@ -44,7 +44,7 @@
   #bitmapsAt = -Infinity;
 
   constructor(
-    private readonly block: Recorded,
+    private readonly shard: Recorded,
     private readonly deps: NodeContext,
   ) {
     this.#wake = new Wake(deps.clock);
@@ -58,7 +58,7 @@
   async step(signal: AbortSignal): Promise<void> {
     await this.#wake.wait(1000);
     await this.deps.clock.sleep(GATHER_MS, signal);
-    if (signal.aborted || !this.block.entitled) return;
+    if (signal.aborted || !this.shard.entitled) return;
     const now = this.deps.clock.now();
     const parts = this.#collect(now);
     if (parts.length > 0 && !(await this.#write(parts))) {
@@ -69,7 +69,7 @@
 
   /** What is complete goes out at once; the rest when its time has come. */
   #wakeForMore(): void {
-    for (const table of this.block.tables.values()) {
+    for (const table of this.shard.tables.values()) {
       if (table.unrecorded.size > 0 && table.remaining === 0) {
         this.#wake.wake();
         return;
@@ -85,12 +85,12 @@
     const { state } = this.deps.settings.platform.deployment;
     const mostChanges = changesAtOnce(state);
     const { flush_ms } = this.deps.settings.operator;
-    const blocks = blockCount(this.deps.cache, this.deps.settings);
-    const dirty = [...this.block.tables.values()].filter((t) => t.unrecorded.size > 0);
+    const shards = shardCount(this.deps.cache, this.deps.settings);
+    const dirty = [...this.shard.tables.values()].filter((t) => t.unrecorded.size > 0);
     const complete = dirty.filter((t) => t.remaining === 0);
     const others = now - this.#bitmapsAt < flush_ms ? [] : dirty.filter((t) => t.remaining > 0);
     others.sort((a, b) => a.recordedAt - b.recordedAt);
-    let bitmaps = Math.max(1, Math.floor(((state.write_rps * BITMAPS_PART) / blocks) * (flush_ms / 1000)));
+    let bitmaps = Math.max(1, Math.floor(((state.write_rps * BITMAPS_PART) / shards) * (flush_ms / 1000)));
     if (others.length > 0) this.#bitmapsAt = now;
     const parts: Part[] = [];
     let changes = 0;
@@ -158,7 +158,7 @@
   }
 
   async #write(parts: Part[]): Promise<boolean> {
-    const guards = [this.block.leaseGuard(), ...parts.flatMap((p) => p.guards)];
+    const guards = [this.shard.leaseGuard(), ...parts.flatMap((p) => p.guards)];
     const result = await this.deps.store.txn(
       guards,
       parts.flatMap((p) => p.changes),
@@ -173,13 +173,13 @@
         this.deps.jobs.rememberFinal(id, part.final);
         this.deps.log.info({ job: id, tasks: part.table.job.tasks }, 'job done');
         this.deps.announce({ key: KEY.job(id), version: result.revision, deleted: true });
-        this.block.closeJob(id);
+        this.shard.closeJob(id);
       } else {
         for (const key of part.recordKeys) part.table.recordVersions.set(key, result.revision);
         part.table.confirm(part.tasks);
       }
     }
-    this.block.recordedMore();
+    this.shard.recordedMore();
     return true;
   }
 
@@ -192,7 +192,7 @@
     for (const { table, recordKeys } of parts) {
       const { id } = table.job;
       if (keys.has(KEY.job(id)) || keys.has(KEY.final(id))) {
-        if (!(await this.deps.store.get(KEY.job(id)))) this.block.closeJob(id);
+        if (!(await this.deps.store.get(KEY.job(id)))) this.shard.closeJob(id);
         continue;
       }
       for (const key of recordKeys) {
@@ -202,6 +202,6 @@
         if (entry && stored) table.mergeRecorded(key, stored, entry.version);
       }
     }
-    this.block.recordedMore();
+    this.shard.recordedMore();
   }
 }
--- a/src/coordination/block/block-owner.ts
+++ b/src/coordination/shard/shard-owner.ts
@@ -6,8 +6,8 @@
 import type { Event, Guard } from '../../protocol/state';
 import type { HandoverTrace } from '../../suspicion/handover-trace';
 import { Attempts } from './attempts';
-import { Block, type BlockTenure } from './block';
-import { summarizeBlock } from './block-summary';
+import { Shard, type ShardTenure } from './shard';
+import { summarizeShard } from './shard-summary';
 import { Commander } from './commander';
 import type { NodeContext } from '../node-context';
 import type { FleetInput, RentOption } from '../fleet/fleet';
@@ -27,17 +27,17 @@
 /** So many reports of a machine are answered though they don't show the token that the answers carry. */
 const MAX_UNPROVEN = 3;
 
-/** What an owner answers a report of its block. */
+/** What an owner answers a report of its shard. */
 export type OwnAnswer = { kind: 'accepted'; token: number; orders: Order[] } | { kind: 'undecided' };
 
 const UNDECIDED: OwnAnswer = { kind: 'undecided' };
 
 /**
- * The owner of one block. It holds what is wanted (jobs) and what is (machines and their attempts), and works out the
+ * The owner of one shard. It holds what is wanted (jobs) and what is (machines and their attempts), and works out the
  * difference in rounds. It acts only while the session is valid.
  */
-export class BlockOwner {
-  readonly #block: Block;
+export class ShardOwner {
+  readonly #shard: Shard;
   readonly #attempts: Attempts;
   readonly #commander: Commander;
   readonly #scheduler: Scheduler;
@@ -52,16 +52,16 @@
   #summaryAt = -Infinity;
 
   constructor(
-    tenure: BlockTenure,
+    tenure: ShardTenure,
     private readonly deps: NodeContext,
   ) {
     this.#wake = new Wake(deps.clock);
     const wake = (): void => {
       this.#wake.wake();
     };
-    this.#block = new Block(tenure, deps, wake);
+    this.#shard = new Shard(tenure, deps, wake);
     this.#commander = new Commander(
-      this.#block,
+      this.#shard,
       () => this.#attempts,
       deps,
       (machine, report) => {
@@ -69,7 +69,7 @@
       },
     );
     this.#attempts = new Attempts(
-      this.#block,
+      this.#shard,
       deps,
       () => {
         this.#recorder.wake();
@@ -79,25 +79,25 @@
         wake();
       },
     );
-    this.#scheduler = new Scheduler(this.#block, this.#attempts, deps);
-    this.#token = new TokenRaiser(this.#block, deps);
-    this.#upRecords = new UpRecords(this.#block, deps);
+    this.#scheduler = new Scheduler(this.#shard, this.#attempts, deps);
+    this.#token = new TokenRaiser(this.#shard, deps);
+    this.#upRecords = new UpRecords(this.#shard, deps);
     this.#recorder = new Recorder(this, deps);
     this.#fleet = new FleetManager(this, deps);
-    const { tables, machines } = this.#block;
+    const { tables, machines } = this.#shard;
     deps.log.info(
-      { block: tenure.number, token: tenure.token, jobs: tables.size, machines: machines.size },
-      'block taken over',
+      { shard: tenure.number, token: tenure.token, jobs: tables.size, machines: machines.size },
+      'shard taken over',
     );
   }
 
-  /** Begins to act; `handover` follows how the block was taken over. */
+  /** Begins to act; `handover` follows how the shard was taken over. */
   start(handover?: HandoverTrace): void {
     this.#handover = handover;
     const signal = this.#stop.signal;
     const loop = (name: string, step: () => Promise<void>): void => {
       const { clock, log } = this.deps;
-      void runLoop(`${name} of block ${this.block}`, step, { clock, log, signal });
+      void runLoop(`${name} of shard ${this.shard}`, step, { clock, log, signal });
     };
     loop('rounds', () => this.#step(signal));
     loop('token', () => this.#token.step(signal));
@@ -115,25 +115,25 @@
 
   stop(why: string): void {
     if (this.stopped) return;
-    this.#block.stopped = true;
+    this.#shard.stopped = true;
     this.#stop.abort();
     this.#handover?.abandon();
-    this.deps.log.info({ block: this.block, token: this.#block.token, why }, 'block given up');
+    this.deps.log.info({ shard: this.shard, token: this.#shard.token, why }, 'shard given up');
   }
 
-  get block(): number {
-    return this.#block.number;
+  get shard(): number {
+    return this.#shard.number;
   }
 
   get machines(): ReadonlyMap<string, Machine> {
-    return this.#block.machines;
+    return this.#shard.machines;
   }
 
-  get tables(): Block['tables'] {
-    return this.#block.tables;
+  get tables(): Shard['tables'] {
+    return this.#shard.tables;
   }
 
-  /** Whether the machine belongs to this block, recorded or just rented. */
+  /** Whether the machine belongs to this shard, recorded or just rented. */
   has(machine: string): boolean {
     return this.machines.has(machine) || this.#fleet.isUnrecorded(machine);
   }
@@ -148,16 +148,16 @@
   }
 
   get stopped(): boolean {
-    return this.#block.stopped;
+    return this.#shard.stopped;
   }
 
-  /** Whether we may act for the block at this very moment. */
+  /** Whether we may act for the shard at this very moment. */
   get entitled(): boolean {
-    return this.#block.entitled;
+    return this.#shard.entitled;
   }
 
   leaseGuard(): Guard {
-    return this.#block.leaseGuard();
+    return this.#shard.leaseGuard();
   }
 
   // What the state service tells us.
@@ -166,15 +166,15 @@
     const { key } = event;
     if (key.startsWith(PREFIX.job)) {
       if (event.deleted) this.closeJob(key.slice(PREFIX.job.length));
-      else this.#block.loadJob(event.value, event.version);
+      else this.#shard.loadJob(event.value, event.version);
       this.#wake.wake();
     } else if (key.startsWith(PREFIX.machine)) {
       if (event.deleted) this.#removeMachine(key.slice(PREFIX.machine.length));
-      else this.#block.loadMachine(key, event.value);
-    } else if (key.startsWith(`${PREFIX.relay}${this.block}/`)) {
+      else this.#shard.loadMachine(key, event.value);
+    } else if (key.startsWith(`${PREFIX.relay}${this.shard}/`)) {
       // Up to the end of its record a relay may have answered.
       this.#scheduler.countAllAsAnswered(this.deps.clock.now());
-    } else if (key === KEY.lease(this.block)) {
+    } else if (key === KEY.lease(this.shard)) {
       this.#onLease(event);
     }
   }
@@ -182,10 +182,10 @@
   #onLease(event: Event): void {
     const lease = event.deleted ? undefined : read.lease(event.value);
     // Our own raise of the token may come back here before its answer does, or instead of it.
-    if (lease?.owner === this.deps.node && lease.token >= this.#block.token) {
-      this.#block.token = lease.token;
-      this.#block.leaseVersion = event.version;
-    } else if (event.version > this.#block.leaseVersion) {
+    if (lease?.owner === this.deps.node && lease.token >= this.#shard.token) {
+      this.#shard.token = lease.token;
+      this.#shard.leaseVersion = event.version;
+    } else if (event.version > this.#shard.leaseVersion) {
       this.stop('its lease is gone');
     }
   }
@@ -194,7 +194,7 @@
     const machine = this.machines.get(id);
     if (!machine) return;
     this.machineGone(machine);
-    this.#block.machines.delete(id);
+    this.#shard.machines.delete(id);
   }
 
   /** The last dependencies of some jobs are done. */
@@ -244,8 +244,8 @@
     // One that we have taken for dead without ever having heard it proves its messages new like any other: else a report
     // that was held up would bring back what died with its session.
     const hasMet = machine.settled && (machine.session > 0 || machine.wasNeverAnswered);
-    if (!hasMet && report.token < this.#block.token) {
-      // It may be a copy from before we took the block, held up for long: only our token, or the answer to a question
+    if (!hasMet && report.token < this.#shard.token) {
+      // It may be a copy from before we took the shard, held up for long: only our token, or the answer to a question
       // of ours, proves a message new.
       machine.sessionHint = report.session;
       if (!machine.settled) {
@@ -255,8 +255,8 @@
       }
       machine.answeredAt = now;
       // The answer renews the worker's lease, so it must end what was cancelled, perhaps a lease ago, before we took the
-      // block: a worker that hears this one answer and no other would keep it for another lease.
-      return { kind: 'accepted', token: this.#block.token, orders: stopsOfEnded(report, this.deps.cache) };
+      // shard: a worker that hears this one answer and no other would keep it for another lease.
+      return { kind: 'accepted', token: this.#shard.token, orders: stopsOfEnded(report, this.deps.cache) };
     }
     const isNews = machine.isNews(report);
     this.#absorb(machine, report);
@@ -265,22 +265,22 @@
     const orders = this.#commander.orders(machine, false);
     // Counted from now, which is later than when the worker sent the report: its own lease ends before ours of it.
     machine.answeredAt = now;
-    return { kind: 'accepted', token: this.#block.token, orders };
+    return { kind: 'accepted', token: this.#shard.token, orders };
   }
 
   #absorb(machine: Machine, report: Report): void {
-    const { block } = this;
+    const { shard } = this;
     const now = this.deps.clock.now();
-    const { missedMs, leaseMs } = this.#block.timing;
+    const { missedMs, leaseMs } = this.#shard.timing;
     const silentBefore = machine.heardAt === undefined || now - machine.heardAt > missedMs;
     const changes = machine.absorb(report, now, leaseMs, (job) => this.#attempts.describe(job));
-    const { token } = this.#block;
+    const { token } = this.#shard;
     if (report.token > token) {
       this.deps.log.warn({ machine: machine.id, seen: report.token, token }, 'a worker saw a higher token');
     }
     if (!machine.settled && machine.tokenSeen >= token) {
-      this.#block.settle(machine);
-      this.deps.log.debug({ block, machine: machine.id, attempts: machine.attempts.size }, 'machine settled');
+      this.#shard.settle(machine);
+      this.deps.log.debug({ shard, machine: machine.id, attempts: machine.attempts.size }, 'machine settled');
       this.#wake.wake();
     }
     if (silentBefore) {
@@ -296,7 +296,7 @@
 
   /** How many machines should report here, and how many of them have not for a while. */
   hearing(): { machines: number; unheard: number } {
-    return this.#block.hearing(this.deps.clock.now());
+    return this.#shard.hearing(this.deps.clock.now());
   }
 
   // Rounds.
@@ -311,7 +311,7 @@
       this.#scheduler.housekeep(now);
       this.#commander.ask(now);
     }
-    const goesOn = !this.#block.workersAreComing(now) && this.#scheduler.round(now);
+    const goesOn = !this.#shard.workersAreComing(now) && this.#scheduler.round(now);
     this.#commander.flush();
     if (this.#handover) this.#followHandover(this.#handover, goesOn);
     if (now - this.#summaryAt >= SUMMARY_MS) {
@@ -326,16 +326,16 @@
 
   /** After a round: how far the takeover is. */
   #followHandover(handover: HandoverTrace, isRoundUnfinished: boolean): void {
-    if (!this.#block.allKnown) return;
+    if (!this.#shard.allKnown) return;
     handover.reached('workers confirmed', { machines: this.machines.size });
     if (!isRoundUnfinished) handover.reached('orphaned jobs placed', { jobs: this.tables.size });
     if (handover.isOver) this.#handover = undefined;
   }
 
-  /** One line every now and then, by which an operator sees how the block does. */
+  /** One line every now and then, by which an operator sees how the shard does. */
   #logSummary(now: number): void {
-    const summary = summarizeBlock(this.#block, this.#scheduler.unplaced, now);
-    this.deps.log.info({ block: this.block, jobs: this.tables.size, ...summary }, 'block');
+    const summary = summarizeShard(this.#shard, this.#scheduler.unplaced, now);
+    this.deps.log.info({ shard: this.shard, jobs: this.tables.size, ...summary }, 'shard');
   }
 
   // The fleet.
--- a/src/coordination/block/block-summary.ts
+++ b/src/coordination/shard/shard-summary.ts
@@ -1,9 +1,9 @@
-/** @file The figures of a block that an operator sees in the log. */
-import type { Block } from './block';
+/** @file The figures of a shard that an operator sees in the log. */
+import type { Shard } from './shard';
 import { holdsRoom } from './machine';
 
-/** Machines, CPUs and waiting tasks of a block at one moment. */
-export interface BlockSummary {
+/** Machines, CPUs and waiting tasks of a shard at one moment. */
+export interface ShardSummary {
   machines: number;
   booting: number;
   unusable: number;
@@ -15,13 +15,13 @@
   unplaced: number;
 }
 
-/** Sums up a block; `unplaced` are the tasks that the last round found no room for, by job. */
-export function summarizeBlock(
-  block: Block,
+/** Sums up a shard; `unplaced` are the tasks that the last round found no room for, by job. */
+export function summarizeShard(
+  shard: Shard,
   unplaced: ReadonlyMap<string, number>,
   now: number,
-): BlockSummary {
-  const summary: BlockSummary = {
+): ShardSummary {
+  const summary: ShardSummary = {
     machines: 0,
     booting: 0,
     unusable: 0,
@@ -32,19 +32,19 @@
     waiting: 0,
     unplaced: 0,
   };
-  for (const machine of block.machines.values()) {
+  for (const machine of shard.machines.values()) {
     summary.machines += 1;
     summary.cpus += machine.type.cpus;
     if (machine.record.spot) summary.spot += 1;
     if (!machine.up) summary.booting += 1;
-    else if (!block.usable(machine, now)) summary.unusable += 1;
+    else if (!shard.usable(machine, now)) summary.unusable += 1;
     for (const attempt of machine.attempts.values()) {
       if (!holdsRoom(attempt)) continue;
       summary.usedCpus += attempt.needs.cpus;
       if (attempt.phase === 'running') summary.runningCpus += attempt.needs.cpus;
     }
   }
-  for (const table of block.tables.values()) if (table.isReady) summary.waiting += table.unassigned;
+  for (const table of shard.tables.values()) if (table.isReady) summary.waiting += table.unassigned;
   for (const count of unplaced.values()) summary.unplaced += count;
   return summary;
 }
--- a/src/coordination/block/block.ts
+++ b/src/coordination/shard/shard.ts
@@ -16,21 +16,21 @@
 /** A job without an aim should be done within so many times its tasks' run time. */
 const USUAL_RUNS = 4;
 
-/** Under what an owner holds its block. */
-export interface BlockTenure {
-  /** The block's number. */
+/** Under what an owner holds its shard. */
+export interface ShardTenure {
+  /** The shard's number. */
   readonly number: number;
   readonly teams: readonly string[];
   /** The fencing token that was drawn with the lease. */
   readonly token: number;
-  /** The version of the block's lease, for the guards of transactions. */
+  /** The version of the shard's lease, for the guards of transactions. */
   readonly leaseVersion: number;
   /** The revision at which it was acquired. */
   readonly takenRevision: number;
 }
 
-/** What a block's owner knows: jobs with their tables, machines with what they hold, and its right to act. */
-export class Block {
+/** What a shard's owner knows: jobs with their tables, machines with what they hold, and its right to act. */
+export class Shard {
   readonly number: number;
   /** Rises when it is raised; see `TokenRaiser`. */
   token: number;
@@ -55,7 +55,7 @@
   readonly #comingMs: number;
 
   constructor(
-    tenure: BlockTenure,
+    tenure: ShardTenure,
     private readonly deps: NodeContext,
     /** Work for a round. */
     readonly wake: () => void,
@@ -85,7 +85,7 @@
     for (const entry of deps.cache.under(PREFIX.machine)) this.loadMachine(entry.key, entry.value);
   }
 
-  /** Whether we may act for the block at this very moment. */
+  /** Whether we may act for the shard at this very moment. */
   get entitled(): boolean {
     return !this.stopped && this.deps.session.valid;
   }
@@ -128,7 +128,7 @@
   }
 
   /**
-   * Whether this block was taken over just now, and the workers of a large fleet are on their way here. Each turn of
+   * Whether this shard was taken over just now, and the workers of a large fleet are on their way here. Each turn of
    * the event loop accepts but one connection: with rounds, questions and commands going on meanwhile, workers could
    * not get through for ten seconds and more, and lost their leases. So all else waits until they are here, or until no
    * more of them come.
@@ -143,7 +143,7 @@
     return this.#counter;
   }
 
-  /** Every machine of the block is known: it showed our token, or its lease from before has run out. */
+  /** Every machine of the shard is known: it showed our token, or its lease from before has run out. */
   get allKnown(): boolean {
     return this.unsettled.size === 0 && this.holdings.nameless === 0;
   }
@@ -194,7 +194,7 @@
 
   /**
    * The most that each team's tasks can use on machines that are not known yet: those of its jobs from before we took
-   * the block that were not found anywhere, and those of jobs that ended lately. Counted in full, the machines of a
+   * the shard that were not found anywhere, and those of jobs that ended lately. Counted in full, the machines of a
    * zone that is cut off would fill every team's limit by themselves. Undefined: nobody here knows which jobs ended.
    */
   #mostUnseen(): Map<string, { cpus: number; gpus: number }> | undefined {
@@ -271,7 +271,7 @@
     return this.deps.settings.platform.others.map(({ node }) => KEY.relay(this.number, node));
   }
 
-  /** Whether any node relays leases of this block's workers, as far as our view goes. */
+  /** Whether any node relays leases of this shard's workers, as far as our view goes. */
   get isKept(): boolean {
     return this.#keepKeys.some((key) => this.deps.cache.get(key) !== undefined);
   }
--- a/src/coordination/block/up-records.ts
+++ b/src/coordination/shard/up-records.ts
@@ -3,7 +3,7 @@
 import { changesAtOnce } from '../../base/state-limits';
 import { KEY, type MachineRecord } from '../../bookkeeping/records';
 import type { Guard } from '../../protocol/state';
-import type { Block } from './block';
+import type { Shard } from './shard';
 import type { NodeContext } from '../node-context';
 import type { Machine } from './machine';
 
@@ -13,7 +13,7 @@
 /** What became of the record of a machine. `conflict`: somebody else has recorded it. */
 export type RecordOutcome = 'recorded' | 'conflict' | 'failed';
 
-/** A machine of the block, or the record of a rental that was never written. */
+/** A machine of the shard, or the record of a rental that was never written. */
 type RecordSubject = { kind: 'known'; machine: Machine } | { kind: 'rental'; record: MachineRecord };
 
 /** A machine whose worker reports, and whose record is to say so. */
@@ -44,7 +44,7 @@
   #writing = false;
 
   constructor(
-    private readonly block: Block,
+    private readonly shard: Shard,
     private readonly deps: NodeContext,
   ) {}
 
@@ -53,12 +53,12 @@
     return this.#pending.size;
   }
 
-  /** Records that a machine of the block is up. Resolves to true when that is done. */
+  /** Records that a machine of the shard is up. Resolves to true when that is done. */
   async record(machine: Machine, address: string): Promise<boolean> {
     return (await this.#enqueue(machine.id, address, { kind: 'known', machine })) === 'recorded';
   }
 
-  /** Records a machine that was rented for the block and has no record yet, as up. */
+  /** Records a machine that was rented for the shard and has no record yet, as up. */
   recordRental(id: string, address: string, record: MachineRecord): Promise<RecordOutcome> {
     return this.#enqueue(id, address, { kind: 'rental', record });
   }
@@ -118,7 +118,7 @@
     const key = KEY.machine(id);
     const version = this.deps.cache.version(key);
     const isRental = subject.kind === 'rental';
-    // A rental that has a record meanwhile is known to the block; a known machine without one was returned while it
+    // A rental that has a record meanwhile is known to the shard; a known machine without one was returned while it
     // waited, and a guard on its absence would bring it back, as up.
     if (isRental ? version > 0 : version === 0) return undefined;
     const record = isRental ? subject.record : subject.machine.record;
@@ -128,7 +128,7 @@
   /** One transaction. Undefined: it was carried out; otherwise the keys whose guards failed. */
   async #writeTogether(writes: readonly RecordWrite[]): Promise<string[] | undefined> {
     const result = await this.deps.store.txn(
-      [this.block.leaseGuard(), ...writes.map(({ guard }) => guard)],
+      [this.shard.leaseGuard(), ...writes.map(({ guard }) => guard)],
       writes.map(({ guard, value }) => ({ put: guard.key, value })),
     );
     if (!result.ok) return result.failed;
@@ -141,15 +141,15 @@
     if (subject.kind === 'rental') {
       this.deps.announce({ key: guard.key, version, value, deleted: false });
     }
-    const machine = subject.kind === 'rental' ? this.block.machines.get(id) : subject.machine;
+    const machine = subject.kind === 'rental' ? this.shard.machines.get(id) : subject.machine;
     if (!machine) return;
     machine.up = true;
     machine.record.address = pending.address;
     machine.idleSince = this.deps.clock.now();
-    // It was rented for this block and had no record until now, so nobody can have answered it: it holds nothing.
+    // It was rented for this shard and had no record until now, so nobody can have answered it: it holds nothing.
     if (subject.kind === 'rental') {
       machine.wasNeverAnswered = true;
-      this.block.settle(machine);
+      this.shard.settle(machine);
     }
     const ageS = Math.round((machine.idleSince - machine.knownSince) / 1000);
     const { type, record } = machine;
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -17,7 +17,7 @@
   revision: number;
 }
 
-/** A peer will acquire no block for a while, and names what ended meanwhile. `Promise` on the wire. */
+/** A peer will acquire no shard for a while, and names what ended meanwhile. `Promise` on the wire. */
 export interface LeaseExtensionGrant {
   from: string;
   to: string;
@@ -30,7 +30,7 @@
   fresh: boolean;
   jobs: JobProgress[];
   unheard: number[];
-  turnedAway: { block: number; machines: number }[];
+  turnedAway: { shard: number; machines: number }[];
   /** Absent with suspicion off at the sender, and from versions that know none. */
   view?: PeerView;
   /** The message held a view that can't be read. */
--- a/src/suspicion/give-up.ts
+++ b/src/suspicion/give-up.ts
@@ -1,10 +1,10 @@
-/** @file When a controller gives its blocks up in order, rather than by the end of its lease. Pure functions. */
+/** @file When a controller gives its shards up in order, rather than by the end of its lease. Pure functions. */
 import type { PeerView } from '../protocol/peer-view';
 import type { SuspicionOptions } from './options';
 import { isSuspect } from './peer-record';
 import type { Pause } from './running-clock';
 
-/** Why a controller gives its blocks up. */
+/** Why a controller gives its shards up. */
 export type GiveUpReason = 'it stalls again and again' | 'most peers suspect it';
 
 /** What a controller knows of itself. Steady times in milliseconds. */
@@ -48,7 +48,7 @@
   return against.length * 2 > otherControllers;
 }
 
-/** Why the controller should give its blocks up at this time; undefined: it should keep them. */
+/** Why the controller should give its shards up at this time; undefined: it should keep them. */
 export function whyGiveUp(
   { stalls, suspectedSince }: SelfFacts,
   options: SuspicionOptions,
--- a/src/suspicion/handover-trace.ts
+++ b/src/suspicion/handover-trace.ts
@@ -5,7 +5,7 @@
 
 const TRACER = 'ironstream.suspicion';
 
-/** The steps of taking a block over, in their order. */
+/** The steps of taking a shard over, in their order. */
 export const TAKEOVER_STEPS = [
   'chosen',
   'acquired',
@@ -13,7 +13,7 @@
   'workers confirmed',
   'orphaned jobs placed',
 ] as const;
-/** The steps of giving a block up in order. */
+/** The steps of giving a shard up in order. */
 export const GIVE_UP_STEPS = ['stopped', 'drained', 'successor named'] as const;
 /** A step of either side of a handover. */
 export type HandoverStep = (typeof TAKEOVER_STEPS)[number] | (typeof GIVE_UP_STEPS)[number];
@@ -28,11 +28,11 @@
   readonly #span: Span;
 
   constructor(
-    private readonly block: number,
+    private readonly shard: number,
     private readonly context: { readonly clock: Clock; readonly log: Log },
   ) {
     this.#startedAt = context.clock.now();
-    this.#span = trace.getTracer(TRACER).startSpan('handover', { attributes: { block } });
+    this.#span = trace.getTracer(TRACER).startSpan('handover', { attributes: { shard } });
   }
 
   /** Whether every step is behind. */
@@ -45,12 +45,12 @@
     if (this.#reached.has(step) || this.isOver) return;
     this.#reached.add(step);
     const atMs = Math.round(this.context.clock.now() - this.#startedAt);
-    this.context.log.info({ block: this.block, step, atMs, ...facts }, 'handover');
+    this.context.log.info({ shard: this.shard, step, atMs, ...facts }, 'handover');
     this.#span.addEvent(step, { 'handover.at_ms': atMs });
     if (this.isOver) this.#span.end();
   }
 
-  /** The handover was broken off: another controller was chosen, or the block was lost again. */
+  /** The handover was broken off: another controller was chosen, or the shard was lost again. */
   abandon(): void {
     if (!this.isOver) this.#span.addEvent('abandoned').end();
   }
--- a/src/suspicion/move-limiter.ts
+++ b/src/suspicion/move-limiter.ts
@@ -1,12 +1,12 @@
-/** @file Damping: a bound on how many blocks suspicion moves in a minute. */
+/** @file Damping: a bound on how many shards suspicion moves in a minute. */
 
 const WINDOW_MS = 60_000;
-/** A block that moved is not given up again by choice for so long. */
+/** A shard that moved is not given up again by choice for so long. */
 const SETTLING_MS = 15_000;
 
 /**
  * Counts the changes of owner that this controller sees in the records, whoever made them, so that a controller that
- * flaps does not swing blocks about. What follows from the end of a lease is not bounded: a block without an owner always
+ * flaps does not swing shards about. What follows from the end of a lease is not bounded: a shard without an owner always
  * gets one.
  */
 export class MoveLimiter {
@@ -17,23 +17,23 @@
 
   constructor(private readonly movesPerMinute: number) {}
 
-  /** The record of a block names an owner. */
-  onOwner(block: number, owner: string, now: number): void {
-    const before = this.#owners.get(block);
-    this.#owners.set(block, owner);
+  /** The record of a shard names an owner. */
+  onOwner(shard: number, owner: string, now: number): void {
+    const before = this.#owners.get(shard);
+    this.#owners.set(shard, owner);
     if (before === undefined || before === owner) return;
-    this.#movedAt.set(block, now);
+    this.#movedAt.set(shard, now);
     this.#moves = this.#moves.filter((at) => now - at < WINDOW_MS);
     this.#moves.push(now);
   }
 
-  /** Whether suspicion may take this block from its owner now. */
-  allows(block: number, now: number): boolean {
-    const hasSettled = now - (this.#movedAt.get(block) ?? -Infinity) >= SETTLING_MS;
+  /** Whether suspicion may take this shard from its owner now. */
+  allows(shard: number, now: number): boolean {
+    const hasSettled = now - (this.#movedAt.get(shard) ?? -Infinity) >= SETTLING_MS;
     return hasSettled && this.allowsAny(now);
   }
 
-  /** Whether suspicion may move any block now: one that nobody holds needs no time to settle. */
+  /** Whether suspicion may move any shard now: one that nobody holds needs no time to settle. */
   allowsAny(now: number): boolean {
     return this.#moves.filter((at) => now - at < WINDOW_MS).length < this.movesPerMinute;
   }
--- a/src/suspicion/options.ts
+++ b/src/suspicion/options.ts
@@ -22,14 +22,14 @@
   timeout_s: z.number().min(LEAST_TIMEOUT_S).max(60).default(2.5),
   /** A pause of this process that counts as a stall. */
   stall_s: z.number().positive().max(60).default(1.5),
-  /** So many stalls within the window make a controller give its blocks up. */
+  /** So many stalls within the window make a controller give its shards up. */
   stalls: z.int().min(1).max(100).default(3),
   stall_window_s: z.number().positive().max(600).default(30),
-  /** A controller that most peers suspect for so long, though it hears them, gives its blocks up. */
+  /** A controller that most peers suspect for so long, though it hears them, gives its shards up. */
   give_up_after_s: z.number().positive().max(60).default(3),
-  /** Blocks that suspicion may move in a minute. */
+  /** Shards that suspicion may move in a minute. */
   moves_per_minute: z.int().min(0).max(60).default(4),
-  /** A controller that returned gets no block by choice for so long. */
+  /** A controller that returned gets no shard by choice for so long. */
   probation_s: z.number().min(0).max(600).default(10),
   /** Writes spans of handovers to the log. */
   trace: z.boolean().default(false),
@@ -58,7 +58,7 @@
 export function readSuspicionOptions({
   operator,
   operatorFile,
-  blockLeaseMs,
+  shardLeaseMs,
 }: Settings): SuspicionOptions | undefined {
   if (operator.suspicion === undefined) return undefined;
   const parsed = suspicionSchema.safeParse(operator.suspicion);
@@ -67,7 +67,7 @@
     const path = ['suspicion', ...(issue?.path ?? [])].join('.');
     throw new SettingsError(`${operatorFile}: ${path}: ${issue?.message ?? 'invalid'}`);
   }
-  const problem = contradiction(parsed.data, blockLeaseMs / MS_PER_S);
+  const problem = contradiction(parsed.data, shardLeaseMs / MS_PER_S);
   if (problem !== undefined) throw new SettingsError(`${operatorFile}: suspicion.${problem}`);
   return parsed.data.enabled ? toOptions(parsed.data) : undefined;
 }
@@ -81,7 +81,7 @@
   return {
     ...options,
     suspectedAfterMs: detector === 'fixed' ? timeoutMs : silenceFor(phiThreshold, regular),
-    verdictAfterMs: settings.blockLeaseMs,
+    verdictAfterMs: settings.shardLeaseMs,
   };
 }
 
@@ -93,12 +93,12 @@
   readonly verdictAfterMs: number;
 }
 
-/** What doesn't go together, with the key at fault; `blockLeaseS` is the lease that follows from the settings. */
-function contradiction(table: SuspicionTable, blockLeaseS: number): string | undefined {
+/** What doesn't go together, with the key at fault; `shardLeaseS` is the lease that follows from the settings. */
+function contradiction(table: SuspicionTable, shardLeaseS: number): string | undefined {
   // The end of the lease is the verdict: a suspicion or a handover that comes after it says nothing.
   const mustPrecedeVerdict = ['timeout_s', 'stall_s', 'give_up_after_s', 'min_deviation_s'] as const;
-  const late = mustPrecedeVerdict.find((key) => table[key] >= blockLeaseS);
-  if (late !== undefined) return `${late}: must be smaller than the block lease, ${blockLeaseS} s`;
+  const late = mustPrecedeVerdict.find((key) => table[key] >= shardLeaseS);
+  if (late !== undefined) return `${late}: must be smaller than the block lease, ${shardLeaseS} s`;
   if (table.stall_window_s < table.stalls * table.stall_s) {
     return 'stall_window_s: must hold as many stalls of stall_s as stalls asks for';
   }
--- a/src/suspicion/peer-reachability.ts
+++ b/src/suspicion/peer-reachability.ts
@@ -5,7 +5,7 @@
 
 /** How long a peer's message, or a report that was redirected, counts. */
 const MEMORY_MS = 6_000;
-/** An owner that receives nothing from this share of its workers, while another node does, hands over its block. */
+/** An owner that receives nothing from this share of its workers, while another node does, hands over its shard. */
 const UNREACHABLE_SHARE = 0.7;
 /** Fewer machines than this say nothing about the node. */
 const MIN_UNREACHABLE = 3;
@@ -17,7 +17,7 @@
  */
 export class PeerReachability {
   readonly #peers = new Map<string, Progress>();
-  readonly #redirected = new Map<string, { block: number; at: number }>();
+  readonly #redirected = new Map<string, { shard: number; at: number }>();
   #heardAt = -Infinity;
   #freshPeerAt = -Infinity;
 
@@ -27,9 +27,9 @@
     private readonly liveness: PeerLiveness,
   ) {}
 
-  /** A machine reported here although another node owns its block. */
-  recordRedirect(machine: string, block: number): void {
-    this.#redirected.set(machine, { block, at: this.clock.now() });
+  /** A machine reported here although another node owns its shard. */
+  recordRedirect(machine: string, shard: number): void {
+    this.#redirected.set(machine, { shard, at: this.clock.now() });
   }
 
   /** Takes in a peer's periodic message. */
@@ -51,35 +51,35 @@
     return this.#freshPeerAt;
   }
 
-  /** How many machines of each block were redirected from here lately. */
-  redirected(): { block: number; machines: number }[] {
+  /** How many machines of each shard were redirected from here lately. */
+  redirected(): { shard: number; machines: number }[] {
     const now = this.clock.now();
     const counts = new Map<number, number>();
-    for (const [machine, { block, at }] of this.#redirected) {
+    for (const [machine, { shard, at }] of this.#redirected) {
       if (now - at > MEMORY_MS) this.#redirected.delete(machine);
-      else counts.set(block, (counts.get(block) ?? 0) + 1);
+      else counts.set(shard, (counts.get(shard) ?? 0) + 1);
     }
-    return [...counts].map(([block, machines]) => ({ block, machines }));
+    return [...counts].map(([shard, machines]) => ({ shard, machines }));
   }
 
-  /** Whether a worker may be redirected to the owner of its block. */
-  reaches(owner: string, block: number): boolean {
+  /** Whether a worker may be redirected to the owner of its shard. */
+  reaches(owner: string, shard: number): boolean {
     const progress = this.#peers.get(owner);
     if (!progress || this.liveness.isSilent(owner)) return false;
-    return !progress.unheard.includes(block);
+    return !progress.unheard.includes(shard);
   }
 
   /**
-   * The node to hand a block of ours over to, because its workers reach that node and not this one; undefined when no
+   * The node to hand a shard of ours over to, because its workers reach that node and not this one; undefined when no
    * node qualifies.
    */
-  successor(block: number, machines: number, unreachable: number): string | undefined {
+  successor(shard: number, machines: number, unreachable: number): string | undefined {
     if (!areMostUnreachable(machines, unreachable)) return undefined;
     let best: { node: string; heard: number } | undefined;
     let heard = 0;
     for (const [node, progress] of this.#peers) {
       if (this.liveness.isSilent(node) || !progress.fresh) continue;
-      const here = progress.turnedAway.find((t) => t.block === block)?.machines ?? 0;
+      const here = progress.turnedAway.find((t) => t.shard === shard)?.machines ?? 0;
       heard += here;
       if (here > (best?.heard ?? 0)) best = { node, heard: here };
     }
--- a/src/suspicion/suspicion.ts
+++ b/src/suspicion/suspicion.ts
@@ -28,14 +28,14 @@
   readonly log: Log;
 }
 
-/** A block that is to be handed over, and to whom. */
+/** A shard that is to be handed over, and to whom. */
 export interface PlannedHandover {
   readonly successor: string;
   readonly reason: GiveUpReason;
 }
 
-/** A controller that may own blocks, before suspicion has its say. */
-export type Contender = Pick<Candidate, 'node' | 'blocks' | 'isUpgraded'>;
+/** A controller that may own shards, before suspicion has its say. */
+export type Contender = Pick<Candidate, 'node' | 'shards' | 'isUpgraded'>;
 
 /**
  * Observes peers and this process, exchanges views with the peers, and ranks controllers. It entitles nobody to act: the
@@ -127,15 +127,15 @@
     return { run: this.#run, incarnation: this.#incarnation, isStalled: this.#isStalled(), opinions };
   }
 
-  /** The contenders in the order in which they are to own a block; computed alike by all that hold the same views. */
-  rank(block: number, contenders: readonly Contender[]): string[] {
+  /** The contenders in the order in which they are to own a shard; computed alike by all that hold the same views. */
+  rank(shard: number, contenders: readonly Contender[]): string[] {
     const candidates = contenders.map((contender) => ({
       ...contender,
       isSuspect: this.isSuspect(contender.node),
-      wasHolder: contender.node === this.#holderOf(block),
+      wasHolder: contender.node === this.#holderOf(shard),
       isOnProbation: this.#detector.record(contender.node)?.status === 'returned',
     }));
-    return rankCandidates(block, candidates).map(({ node }) => node);
+    return rankCandidates(shard, candidates).map(({ node }) => node);
   }
 
   /** Whether a controller, this one included, is to be given nothing by choice. */
@@ -153,33 +153,33 @@
     );
   }
 
-  /** Whether damping allows a block that nobody holds to be given to another than was chosen. */
+  /** Whether damping allows a shard that nobody holds to be given to another than was chosen. */
   mayChooseAgain(): boolean {
     return this.#moves.allowsAny(this.context.clock.now());
   }
 
-  /** Whether damping allows a block to be moved by choice at this moment. */
-  mayMove(block: number): boolean {
-    return this.#moves.allows(block, this.context.clock.now());
+  /** Whether damping allows a shard to be moved by choice at this moment. */
+  mayMove(shard: number): boolean {
+    return this.#moves.allows(shard, this.context.clock.now());
   }
 
   /**
-   * To whom this controller should hand a block over because it is slow itself; undefined: it should keep it. Only to a
+   * To whom this controller should hand a shard over because it is slow itself; undefined: it should keep it. Only to a
    * peer that was heard since the last stall and can itself reach the state service: where all are slow, nobody is better.
    */
-  plannedHandover(block: number, contenders: readonly Contender[]): PlannedHandover | undefined {
+  plannedHandover(shard: number, contenders: readonly Contender[]): PlannedHandover | undefined {
     const { clock, node } = this.context;
     const now = clock.now();
     const facts = { node, stalls: this.#stalls(), suspectedSince: this.#suspectedSince };
     const reason = whyGiveUp(facts, this.options, now);
-    if (reason === undefined || !this.mayMove(block)) return undefined;
+    if (reason === undefined || !this.mayMove(shard)) return undefined;
     const fit = contenders.filter((contender) => this.#isFit(contender.node));
-    const [successor] = this.rank(block, fit);
+    const [successor] = this.rank(shard, fit);
     return successor === undefined ? undefined : { successor, reason };
   }
 
-  #holderOf(block: number): string | undefined {
-    return read.block(this.context.cache.get(KEY.block(block))?.value)?.holder;
+  #holderOf(shard: number): string | undefined {
+    return read.shard(this.context.cache.get(KEY.shard(shard))?.value)?.holder;
   }
 
   #isFit(peer: string): boolean {
@@ -226,10 +226,10 @@
   }
 
   #onRecord({ key, ...event }: Event): void {
-    if (event.deleted || !key.startsWith(PREFIX.block)) return;
-    const record = read.block(event.value);
-    const block = Number(key.slice(PREFIX.block.length));
-    if (record) this.#moves.onOwner(block, record.owner, this.context.clock.now());
+    if (event.deleted || !key.startsWith(PREFIX.shard)) return;
+    const record = read.shard(event.value);
+    const shard = Number(key.slice(PREFIX.shard.length));
+    if (record) this.#moves.onOwner(shard, record.owner, this.context.clock.now());
   }
 
   #logChange({ node, before, after }: StatusChange): void {
--- a/test/cancellation-handover.test.ts
+++ b/test/cancellation-handover.test.ts
@@ -1,4 +1,4 @@
-/** @file Cancellations while a block or the leadership moves to another node. */
+/** @file Cancellations while a shard or the leadership moves to another node. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CANCEL_S, World } from './fakes/world';
@@ -49,17 +49,17 @@
   world.noRuleBroken();
 });
 
-test('jobs cancelled while the leader moves a block to another node are stopped in time', async () => {
+test('jobs cancelled while the leader moves a shard to another node are stopped in time', async () => {
   const world = new World({ operator: { blocks: 2 } });
   const jobs = ['req-1', 'req-2', 'req-3', 'req-4'];
   for (const [index, job] of jobs.entries())
     await world.submit(job, { pieces: 4, crew: index % 2 ? 'red' : 'blue', reckonS: 100 }, 100);
   await world.until('16 tasks run', () => world.running.length >= 16);
   const owners = (): number[] =>
-    [0, 1].map((block) =>
-      world.controllers.findIndex((c) => c.alive && c.node.owners.get(block)?.entitled === true),
+    [0, 1].map((shard) =>
+      world.controllers.findIndex((c) => c.alive && c.node.owners.get(shard)?.entitled === true),
     );
-  // One dies, and another has both blocks until a third one comes back.
+  // One dies, and another has both shards until a third one comes back.
   const [first, second] = owners();
   assert.notEqual(first, second);
   const idle = [0, 1, 2].find((i) => i !== first && i !== second) ?? 0;
@@ -69,12 +69,12 @@
   await world.clock.advance(3000);
   world.restart(idle);
   world.restart(first ?? 0);
-  await world.until('a block is on its way', () => owners().some((o) => o !== second), 30);
+  await world.until('a shard is on its way', () => owners().some((o) => o !== second), 30);
   const cancelledAt = world.clock.now();
   assert.equal(await world.cancel('req-1', idle), 'withdrawn');
   assert.equal(await world.cancel('req-2', second), 'withdrawn');
   await world.until('both are owned', () => owners().every((o) => o >= 0), 30);
-  assert.deepEqual(new Set(owners()).size, 2, 'the blocks are spread again');
+  assert.deepEqual(new Set(owners()).size, 2, 'the shards are spread again');
   await world.until(
     'what was cancelled is gone',
     () => tasksOf(world, 'req-1').length + tasksOf(world, 'req-2').length === 0,
--- a/test/controller-restarts.test.ts
+++ b/test/controller-restarts.test.ts
@@ -45,7 +45,7 @@
   assert.equal(await world.cancel('req-4', reader), 'withdrawn');
   await world.clock.advance(24_000);
   const owner = world.controllers.findIndex((c, i) => i !== old && c.node.owners.get(0)?.entitled === true);
-  assert.ok(owner >= 0, 'another controller has taken the block');
+  assert.ok(owner >= 0, 'another controller has taken the shard');
   thaw();
   await world.clock.advance(50);
   assert.equal(world.controllers[old]?.node.owners.get(0)?.entitled ?? false, false);
@@ -60,7 +60,7 @@
   world.noRuleBroken();
 });
 
-test('a controller that was suspended takes no block from the others', async () => {
+test('a controller that was suspended takes no shard from the others', async () => {
   const world = new World();
   await world.submit('req-1', { pieces: 4 }, 60);
   await world.until('4 tasks run', () => world.running.length >= 4);
@@ -80,11 +80,11 @@
   world.noRuleBroken();
 });
 
-test('when all die, the previous owner takes its block as soon as it restarts; any other waits first', async () => {
+test('when all die, the previous owner takes its shard as soon as it restarts; any other waits first', async () => {
   const world = new World();
   const firstAt = world.clock.now();
   const old = await world.untilOwned();
-  assert.ok(world.clock.now() - firstAt < 1_000, 'nobody can have been promised a block that was never held');
+  assert.ok(world.clock.now() - firstAt < 1_000, 'nobody can have been promised a shard that was never held');
   await world.submit('req-1', { pieces: 4 }, 60);
   await world.until('4 tasks run', () => world.running.length >= 4);
   const killAll = (): void => {
--- a/test/dependencies-start.test.ts
+++ b/test/dependencies-start.test.ts
@@ -178,7 +178,7 @@
   await comesToItsEnd(chain);
 });
 
-test('a job waits for one in another block, with the owner of either dying', async () => {
+test('a job waits for one in another shard, with the owner of either dying', async () => {
   for (const team of ['red', 'blue']) {
     const world = new World({ operator: { blocks: 3 } });
     await world.clock.advance(15_000);
--- a/test/edges.test.ts
+++ b/test/edges.test.ts
@@ -71,7 +71,7 @@
       kind: 'progress',
       progress: {
         ...{ from: 'node-2', fresh: true, jobs: [{ id: 'req-1', running: 3, done: 4 }] },
-        ...{ unheard: [3], turnedAway: [{ block: 0, machines: 12 }] },
+        ...{ unheard: [3], turnedAway: [{ shard: 0, machines: 12 }] },
       },
     },
     { kind: 'ask', ask: { from: 'node-0', number: 5, revision: 2 ** 33 } },
@@ -119,8 +119,8 @@
   },
 });
 
-test('settings: new fields are ignored, bad ones are named with their file, and the block lease keeps the bound', () => {
-  assert.equal(makeSettings(platform(), {}).blockLeaseMs, 5000);
+test('settings: new fields are ignored, bad ones are named with their file, and the shard lease keeps the bound', () => {
+  assert.equal(makeSettings(platform(), {}).shardLeaseMs, 5000);
   const broken = (
     change: (p: Record<string, Record<string, unknown>>) => void,
     options: unknown = {},
--- a/test/fakes/deployment.ts
+++ b/test/fakes/deployment.ts
@@ -176,7 +176,7 @@
     return controller?.alive === true && !controller.process.isFrozen;
   }
 
-  /** The index of the controller that owns block 0 and may act, or -1. */
+  /** The index of the controller that owns shard 0 and may act, or -1. */
   get owner(): number {
     return this.controllers.findIndex((c) => c.alive && c.node.owners.get(0)?.entitled === true);
   }
@@ -192,7 +192,7 @@
 
   async untilOwned(): Promise<number> {
     for (let step = 0; step < 400 && this.owner < 0; step += 1) await this.clock.advance(100);
-    assert(this.owner >= 0, 'no controller owns the block');
+    assert(this.owner >= 0, 'no controller owns the shard');
     return this.owner;
   }
 
--- a/test/fakes/ownership-history.ts
+++ b/test/fakes/ownership-history.ts
@@ -1,8 +1,8 @@
-/** @file A history of who owned which block under which token, of orphaned jobs, and the checker of such a history. */
+/** @file A history of who owned which shard under which token, of orphaned jobs, and the checker of such a history. */
 
-/** From when to when a controller had the right to act for a block under one token. Times in milliseconds. */
+/** From when to when a controller had the right to act for a shard under one token. Times in milliseconds. */
 export interface OwnershipInterval {
-  readonly block: number;
+  readonly shard: number;
   readonly node: string;
   readonly token: number;
   readonly from: number;
@@ -18,14 +18,14 @@
   reassignedAt: number | undefined;
 }
 
-/** Something that left a controller which had no right to act for the block. */
+/** Something that left a controller which had no right to act for the shard. */
 export interface UnentitledEffect {
   readonly node: string;
   readonly what: string;
   readonly at: number;
 }
 
-/** What happened to the ownership of blocks. */
+/** What happened to the ownership of shards. */
 export interface OwnershipHistory {
   readonly intervals: readonly OwnershipInterval[];
   readonly orphans: readonly OrphanedJob[];
@@ -53,7 +53,7 @@
 }
 
 function checkPair(earlier: OwnershipInterval, later: OwnershipInterval): OwnershipViolation | undefined {
-  const detail = `block ${earlier.block}: ${describeInterval(earlier)}, ${describeInterval(later)}`;
+  const detail = `shard ${earlier.shard}: ${describeInterval(earlier)}, ${describeInterval(later)}`;
   if (overlap(earlier, later)) return { kind: 'two owners', detail };
   if (later.token < earlier.token) return { kind: 'token went back', detail };
   return undefined;
@@ -64,7 +64,7 @@
   const violations: OwnershipViolation[] = [];
   for (const [index, earlier] of sorted.entries()) {
     for (const later of sorted.slice(index + 1)) {
-      const violation = earlier.block === later.block ? checkPair(earlier, later) : undefined;
+      const violation = earlier.shard === later.shard ? checkPair(earlier, later) : undefined;
       if (violation) violations.push(violation);
     }
   }
@@ -97,11 +97,11 @@
   );
 }
 
-/** How often a block went from one controller to another. */
+/** How often a shard went from one controller to another. */
 export function moveCount({ intervals }: OwnershipHistory): number {
   const sorted = [...intervals].sort((a, b) => a.from - b.from);
   return sorted.filter((later, index) => {
-    const before = sorted.slice(0, index).filter(({ block }) => block === later.block);
+    const before = sorted.slice(0, index).filter(({ shard }) => shard === later.shard);
     const previous = before.at(-1);
     return previous !== undefined && previous.node !== later.node;
   }).length;
--- a/test/fakes/ownership-recorder.ts
+++ b/test/fakes/ownership-recorder.ts
@@ -1,4 +1,4 @@
-/** @file Records the ownership of blocks in the in-memory deployment. */
+/** @file Records the ownership of shards in the in-memory deployment. */
 import { KEY, read } from '../../src/bookkeeping/records';
 import type { Controller } from './deployment';
 import type { Request } from './network';
@@ -7,7 +7,7 @@
 
 const SAMPLE_MS = 10;
 
-/** Requests that only the owner of a block may send. */
+/** Requests that only the owner of a shard may send. */
 function ownersOnly({ method, path }: Request): boolean {
   return path === '/do' || (method === 'POST' && path.startsWith('/hosts'));
 }
@@ -32,7 +32,7 @@
     this.#sample();
   }
 
-  /** The controller failed: jobs of its blocks that are not over are orphaned from now on. */
+  /** The controller failed: jobs of its shards that are not over are orphaned from now on. */
   controllerFailed(index: number): void {
     const now = this.world.clock.now();
     for (const owner of this.world.controllers[index]?.node.owners.values() ?? []) {
@@ -74,8 +74,8 @@
 
   #sampleController({ name, node, alive }: Controller): void {
     const now = this.world.clock.now();
-    for (const [block, owner] of node.owners) {
-      const key = `${block}/${name}`;
+    for (const [shard, owner] of node.owners) {
+      const key = `${shard}/${name}`;
       if (!alive || !owner.entitled) {
         this.#open.delete(key);
         continue;
@@ -86,15 +86,15 @@
         open.to = now;
         continue;
       }
-      const interval = { block, node: name, token: this.#tokenOf(block), from: now, to: now };
+      const interval = { shard, node: name, token: this.#tokenOf(shard), from: now, to: now };
       this.#intervals.push(interval);
       this.#open.set(key, interval);
     }
   }
 
-  /** The token under which a block is owned, by the state service's word. */
-  #tokenOf(block: number): number {
-    return read.lease(this.world.state.data.get(KEY.lease(block))?.data)?.token ?? 0;
+  /** The token under which a shard is owned, by the state service's word. */
+  #tokenOf(shard: number): number {
+    return read.lease(this.world.state.data.get(KEY.lease(shard))?.data)?.token ?? 0;
   }
 
   #isOwnedOrOver(job: string): boolean {
--- a/test/fault-steps.ts
+++ b/test/fault-steps.ts
@@ -32,7 +32,7 @@
   return [...world.workers.values()].flatMap((w) => w.startOrders).length;
 }
 
-/** Kills the leader and waits until another node owns its blocks; the killed one restarts a while later. */
+/** Kills the leader and waits until another node owns its shards; the killed one restarts a while later. */
 export async function changeLeader(world: World, backMs = 3_000): Promise<number> {
   const old = await world.untilOwned();
   world.kill(old);
--- a/test/fixed-limits.test.ts
+++ b/test/fixed-limits.test.ts
@@ -70,7 +70,7 @@
 });
 
 test('progress of any number of jobs reaches the peers, in messages that fit a frame', () => {
-  const state = { from: 'node-0', fresh: true, unheard: [1], turnedAway: [{ block: 1, machines: MACHINES }] };
+  const state = { from: 'node-0', fresh: true, unheard: [1], turnedAway: [{ shard: 1, machines: MACHINES }] };
   const jobs = Array.from({ length: 2 * JOBS_PER_MESSAGE + 1 }, (_, n) => {
     return { id: `req-${String(n).padStart(6, '0')}`, running: 100_000, done: 100_000 };
   });
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -20,7 +20,7 @@
     { candidates: ['m3'], release: [] },
   );
   assert.deepEqual(ask((id) => id === 'm3', 80_000).release, ['m3']);
-  // One that holds up a block that was taken over is given up sooner.
+  // One that holds up a shard that was taken over is given up sooner.
   assert.deepEqual(ask((id) => id === 'm3', 94_000, true).release, ['m3']);
   assert.deepEqual(ask((id) => id < 'm5', 80_000).release, []);
 });
--- a/test/formats.test.ts
+++ b/test/formats.test.ts
@@ -32,15 +32,15 @@
   'live/baton': { read: read.baton, key: () => KEY.baton },
   'live/types': { read: read.types, key: () => KEY.types },
   'live/node/NODE': { read: read.node, key: (node = '') => KEY.node(node) },
-  'live/block/NUMBER': { read: read.block, key: (block) => KEY.block(Number(block)) },
-  'live/lease/NUMBER': { read: read.lease, key: (block) => KEY.lease(Number(block)) },
+  'live/block/NUMBER': { read: read.shard, key: (shard) => KEY.shard(Number(shard)) },
+  'live/lease/NUMBER': { read: read.lease, key: (shard) => KEY.lease(Number(shard)) },
   'live/machine/MACHINE': { read: read.machine, key: (id = '') => KEY.machine(id) },
   'live/job/JOB': { read: read.job, key: (id = '') => KEY.job(id) },
   'live/done/JOB/NUMBER': { read: read.done, key: (id = '', chunk) => KEY.done(id, Number(chunk)) },
   // Only that it is there counts.
   'live/keep/NUMBER/NODE': {
     read: (value) => value,
-    key: (block, node = '') => KEY.relay(Number(block), node),
+    key: (shard, node = '') => KEY.relay(Number(shard), node),
   },
   'final/JOB': { read: read.final, key: (id = '') => KEY.final(id) },
 };
--- a/test/formats/scenario.ts
+++ b/test/formats/scenario.ts
@@ -127,7 +127,7 @@
   world.noRuleBroken();
 }
 
-/** The owner hears none of its workers, and gives its block to the controller that they come to. */
+/** The owner hears none of its workers, and gives its shard to the controller that they come to. */
 async function runHandOver(collector: Collector): Promise<void> {
   const world = collector.world();
   await world.submit('req-1', { pieces: 16, reckonS: 60 }, 60);
--- a/test/gap.test.ts
+++ b/test/gap.test.ts
@@ -218,11 +218,11 @@
     [5, 11.5],
     [5, 11],
   ] as const) {
-    const { blockLeaseMs, cancelDoubtMs } = makeSettings(platform(lease, cancel), {});
+    const { shardLeaseMs, cancelDoubtMs } = makeSettings(platform(lease, cancel), {});
     const leaseMs = lease * 1000 * (1 + 2 * DRIFT);
     assert.ok(cancelDoubtMs >= 2_500);
     // Until it has heard, an owner acts by its lease or by a promise.
-    const hearingMs = Math.max(blockLeaseMs, PROMISE_MS);
+    const hearingMs = Math.max(shardLeaseMs, PROMISE_MS);
     assert.ok(hearingMs + cancelDoubtMs + leaseMs < cancel * 1000, `${lease} and ${cancel}`);
   }
   assert.throws(() => makeSettings(platform(5, 10.9), {}), /deployment\.workers\.cancel_s/);
--- a/test/hearing.test.ts
+++ b/test/hearing.test.ts
@@ -169,7 +169,7 @@
   world.noRuleBroken();
 });
 
-test('an owner that is cut from its workers alone gives the block to a node that they come to', async () => {
+test('an owner that is cut from its workers alone gives the shard to a node that they come to', async () => {
   const world = new World();
   await world.submit('req-1', { pieces: 16, reckonS: 60 }, 60);
   await world.until('16 tasks run', () => world.running.length >= 16);
@@ -182,7 +182,7 @@
       : undefined,
   );
   const cutAt = world.clock.now();
-  await world.until('another node owns the block', () => world.owner >= 0 && world.owner !== old, 30);
+  await world.until('another node owns the shard', () => world.owner >= 0 && world.owner !== old, 30);
   assert.ok(world.clock.now() - cutAt < 9_000, `${world.clock.now() - cutAt} ms`);
   await world.clock.advance(15_000);
   assert.ok(world.running.length >= 16, `${world.running.length} tasks run`);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -12,7 +12,7 @@
   return new World({ reportS: 3, writeRps: 400, cloudRps: 20 });
 }
 
-/** Machines that the block has had from before the controllers started, all of them up. */
+/** Machines that the shard has had from before the controllers started, all of them up. */
 async function addRecordedMachines(world: World, count: number): Promise<void> {
   world.bootMs = 0;
   const ids = Array.from({ length: count }, () => world.addWorker());
@@ -20,7 +20,7 @@
     const apply = ids.slice(from, from + RECORDS_AT_ONCE).map((id) => ({
       set: KEY.machine(id),
       data: {
-        ...{ block: 0, address: world.worker(id).address, type: 'm4', zone: 'a', spot: true },
+        ...{ shard: 0, address: world.worker(id).address, type: 'm4', zone: 'a', spot: true },
         ...{ up: true, rentedAt: world.clock.date().getTime() },
       },
     }));
--- a/test/lean.test.ts
+++ b/test/lean.test.ts
@@ -13,30 +13,30 @@
 import { submission } from './fakes/submission';
 import { World } from './fakes/world';
 
-test('from an eighth of a core on nothing changes with the quota; below, budgets and blocks make up for it', () => {
-  const usual = { blocks: 1, roundBudgetMs: 40, roundPauseMs: 200, watchPaceMs: 100 };
+test('from an eighth of a core on nothing changes with the quota; below, budgets and shards make up for it', () => {
+  const usual = { shards: 1, roundBudgetMs: 40, roundPauseMs: 200, watchPaceMs: 100 };
   for (const cpu of [0.125, 0.136, 0.306, 0.34, 0.391, 1, 8]) assert.deepEqual(throttlingFor(cpu, 3), usual);
   const small = throttlingFor(0.05, 3);
   // As much computing in a round as on an eighth of a core.
   assert.equal(small.roundBudgetMs * 0.05, usual.roundBudgetMs * 0.125);
-  assert.equal(small.blocks, 3);
-  assert.equal(throttlingFor(0.01, 3).blocks, 3, 'never more blocks than controllers');
-  assert.equal(throttlingFor(0.05, 1).blocks, 1);
+  assert.equal(small.shards, 3);
+  assert.equal(throttlingFor(0.01, 3).shards, 3, 'never more shards than controllers');
+  assert.equal(throttlingFor(0.05, 1).shards, 1);
 });
 
-test('a number of blocks that followed from an earlier quota stays, and every team lies in one block only', async () => {
+test('a number of shards that followed from an earlier quota stays, and every team lies in one shard only', async () => {
   const world = new World({ cpu: 0.1 });
-  const blocksOf = (): Map<string, string[]> => {
+  const shardsOf = (): Map<string, string[]> => {
     const entries = [...world.state.data].filter(([key]) => key.startsWith('live/block/'));
-    return new Map(entries.map(([key, { data }]) => [key, read.block(data)?.teams ?? []]));
+    return new Map(entries.map(([key, { data }]) => [key, read.shard(data)?.teams ?? []]));
   };
   await world.untilOwned();
-  await world.until('two blocks are held', () => blocksOf().size === 2);
-  const before = blocksOf();
+  await world.until('two shards are held', () => shardsOf().size === 2);
+  const before = shardsOf();
   assert.deepEqual([...before.values()].flat().sort(), ['blue', 'red']);
   await world.submit('req-1', { crew: 'red' });
   await world.submit('req-2', { crew: 'blue' });
-  // Larger machines for the controllers, one after the other: by their own quota they would see one block.
+  // Larger machines for the controllers, one after the other: by their own quota they would see one shard.
   world.cpu = 1;
   for (const index of [0, 1, 2]) {
     world.kill(index);
@@ -44,7 +44,7 @@
     world.restart(index);
     await world.clock.advance(8000);
   }
-  assert.deepEqual(blocksOf(), before);
+  assert.deepEqual(shardsOf(), before);
   await world.untilStanding('req-1', 'done');
   await world.untilStanding('req-2', 'done');
   world.noRuleBroken();
--- a/test/load/drill-history.ts
+++ b/test/load/drill-history.ts
@@ -1,9 +1,9 @@
 /** @file The history of a drill, from what workers accepted and from the records of the state service. */
 import type { OrphanedJob, OwnershipHistory, OwnershipInterval } from '../fakes/ownership-history';
 
-/** What the state service has of a block's lease. */
+/** What the state service has of a shard's lease. */
 export interface LeaseFacts {
-  readonly block: number;
+  readonly shard: number;
   readonly owner: string;
   readonly token: number;
 }
@@ -55,13 +55,13 @@
     if (now >= this.#faultAt && token > this.#tokenBefore) this.#met(machine, now);
   }
 
-  #extend({ block, owner, token }: LeaseFacts, now: number): void {
-    const ofBlock = this.#intervals.filter((interval) => interval.block === block);
-    const known = ofBlock.findLast((interval) => interval.token <= token);
+  #extend({ shard, owner, token }: LeaseFacts, now: number): void {
+    const ofShard = this.#intervals.filter((interval) => interval.shard === shard);
+    const known = ofShard.findLast((interval) => interval.token <= token);
     const isSameOwnership =
-      known?.node === owner && !ofBlock.some((other) => other.token > known.token && other.token <= token);
+      known?.node === owner && !ofShard.some((other) => other.token > known.token && other.token <= token);
     if (known && isSameOwnership) known.to = now;
-    else this.#intervals.push({ block, node: owner, token, from: now, to: now });
+    else this.#intervals.push({ shard, node: owner, token, from: now, to: now });
   }
 
   #met(machine: string, now: number): void {
--- a/test/load/drill.ts
+++ b/test/load/drill.ts
@@ -12,7 +12,7 @@
 import { CuttableProxy } from './proxy';
 import { LoadCloud, realClock } from './stand-ins';
 
-/** What can become of the owner of block 0. */
+/** What can become of the owner of shard 0. */
 export type FaultKind = 'freeze' | 'kill' | 'cut';
 
 /** How a drill is played. */
@@ -54,7 +54,7 @@
 const FLAGS = ['--max-old-space-size=64', '--max-semi-space-size=4', '--single-threaded'];
 const CONTROLLERS = 3;
 
-/** Plays faults on the owner of block 0, one after the other, and says what came of each. */
+/** Plays faults on the owner of shard 0, one after the other, and says what came of each. */
 export class Drill {
   readonly #processes: ControllerProcesses;
   readonly #state = new FakeStateService(realClock);
@@ -218,7 +218,7 @@
     if (fault === 'cut') for (const proxy of proxies) proxy.heal();
   }
 
-  /** Waits until block 0 has an owner, and tells which. */
+  /** Waits until shard 0 has an owner, and tells which. */
   async #owner(): Promise<number> {
     for (;;) {
       const lease = read.lease(this.#state.data.get(KEY.lease(0))?.data);
@@ -246,7 +246,7 @@
 
   #watchLeases(): void {
     const lease = read.lease(this.#state.data.get(KEY.lease(0))?.data);
-    if (lease) this.#history.onLease({ block: 0, ...lease });
+    if (lease) this.#history.onLease({ shard: 0, ...lease });
   }
 
   /** A user at some controller, and an operator who looks at the peers. */
--- a/test/load/observed-loopback.ts
+++ b/test/load/observed-loopback.ts
@@ -6,7 +6,7 @@
 /** A worker accepted a command, or the answer to a report, under a token. */
 export type AcceptedObserver = (machine: string, token: number) => void;
 
-/** Tells of each message that a worker accepted from whoever owned its block. */
+/** Tells of each message that a worker accepted from whoever owned its shard. */
 export class ObservedLoopback extends Loopback {
   constructor(
     private readonly machineAt: (address: string) => string | undefined,
--- a/test/load/suspicion.ts
+++ b/test/load/suspicion.ts
@@ -1,6 +1,6 @@
 /**
  * @file A drill on real processes: three controllers on the loopback range are frozen, killed and cut off, and the history
- * of who owned which block is checked. Exits with 1 when a block had two owners, a task ran twice, or an orphaned job had
+ * of who owned which shard is checked. Exits with 1 when a shard had two owners, a task ran twice, or an orphaned job had
  * no owner after 30 s.
  */
 import { parseArgs } from 'node:util';
--- a/test/machine.test.ts
+++ b/test/machine.test.ts
@@ -1,7 +1,7 @@
 /** @file What the leader knows of one machine: its reports, its lease, the images in its cache. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Machine } from '../src/coordination/block/machine';
+import { Machine } from '../src/coordination/shard/machine';
 import type { Report } from '../src/protocol/model';
 import { type } from './decision-inputs';
 
--- a/test/ownership-history.test.ts
+++ b/test/ownership-history.test.ts
@@ -9,8 +9,8 @@
   type OwnershipInterval,
 } from './fakes/ownership-history';
 
-const first: OwnershipInterval = { block: 0, node: 'node-0', token: 1, from: 0, to: 5_000 };
-const second: OwnershipInterval = { block: 0, node: 'node-1', token: 2, from: 5_100, to: 60_000 };
+const first: OwnershipInterval = { shard: 0, node: 'node-0', token: 1, from: 0, to: 5_000 };
+const second: OwnershipInterval = { shard: 0, node: 'node-1', token: 2, from: 5_100, to: 60_000 };
 
 function history(fields: Partial<OwnershipHistory>): OwnershipHistory {
   return { intervals: [first, second], orphans: [], effects: [], endedAt: 60_000, ...fields };
@@ -34,8 +34,8 @@
   assert.deepEqual(kinds({ intervals: [first, within] }), ['two owners']);
 });
 
-test('owners of different blocks at one moment are fine, and so is one that acquires its block again', () => {
-  assert.deepEqual(kinds({ intervals: [first, { ...second, block: 1, from: 0 }] }), []);
+test('owners of different shards at one moment are fine, and so is one that acquires its shard again', () => {
+  assert.deepEqual(kinds({ intervals: [first, { ...second, shard: 1, from: 0 }] }), []);
   assert.deepEqual(kinds({ intervals: [first, { ...second, node: 'node-0' }] }), []);
 });
 
--- a/test/sockets.test.ts
+++ b/test/sockets.test.ts
@@ -8,7 +8,7 @@
 import { HttpClient } from '../src/transport/http-client';
 import { createServer as createNodeServer, type Route } from '../src/transport/http-server';
 
-test('every use has its share of sockets, and a fleet of one block fits into them', () => {
+test('every use has its share of sockets, and a fleet of one shard fits into them', () => {
   for (const [limit, others, machines] of [
     [2309, 4, 1450],
     [2015, 2, 970],
--- a/test/state-limits-fall.test.ts
+++ b/test/state-limits-fall.test.ts
@@ -3,10 +3,10 @@
 import { runLoop } from '../src/base/loop';
 import { makeSettings } from '../src/base/settings';
 import { WatchCache } from '../src/bookkeeping/watch-cache';
-import { Block } from '../src/coordination/block/block';
+import { Shard } from '../src/coordination/shard/shard';
 import type { NodeContext } from '../src/coordination/node-context';
 import { Leader } from '../src/coordination/ownership/leader';
-import { Recorder } from '../src/coordination/block/recorder';
+import { Recorder } from '../src/coordination/shard/recorder';
 import type { CloudView } from '../src/coordination/fleet/cloud-view';
 import type { Job } from '../src/protocol/model';
 import { type Guard } from '../src/protocol/state';
@@ -18,11 +18,11 @@
 
 const JOB = { id: 'req-1', tasks: TASKS, team: 'blue', deadlineS: null } as Job;
 
-/** An owner of the block, reduced to its tables and its recorder. */
+/** An owner of the shard, reduced to its tables and its recorder. */
 class Owner {
   readonly cache: WatchCache;
   readonly recorder: Recorder;
-  readonly block: Block;
+  readonly shard: Shard;
   readonly closed: string[] = [];
   readonly #stop = new AbortController();
 
@@ -49,19 +49,19 @@
       types: () => [],
       announce: () => undefined,
     } as unknown as NodeContext;
-    this.block = new Block(
+    this.shard = new Shard(
       { number: 0, teams: ['blue'], token: 1, leaseVersion: 0, takenRevision: 0 },
       deps,
       () => undefined,
     );
     const guard: Guard = { key: 'live/lease/0', version: 0 };
     const recorded = {
-      tables: this.block.tables,
+      tables: this.shard.tables,
       entitled: true,
       leaseGuard: () => guard,
       closeJob: (id: string) => {
         this.closed.push(id);
-        this.block.tables.delete(id);
+        this.shard.tables.delete(id);
       },
       recordedMore: () => undefined,
     };
@@ -70,7 +70,7 @@
     void runLoop('records', () => this.recorder.step(signal), { clock: service.clock, log: quiet, signal });
   }
 
-  /** Takes the block as a new owner does: from a copy of the records that was read anew. */
+  /** Takes the shard as a new owner does: from a copy of the records that was read anew. */
   static async take(service: Service, options: { isOpen: boolean; next?: unknown }): Promise<Owner> {
     const cache = service.secondCache();
     await service.clock.advance(500);
@@ -78,8 +78,8 @@
     return new Owner(service, cache, options.isOpen, options.next);
   }
 
-  get table(): NonNullable<ReturnType<Block['tables']['get']>> {
-    const table = this.block.tables.get('req-1');
+  get table(): NonNullable<ReturnType<Shard['tables']['get']>> {
+    const table = this.shard.tables.get('req-1');
     assert(table);
     return table;
   }
--- a/test/suspicion-consequences.test.ts
+++ b/test/suspicion-consequences.test.ts
@@ -21,7 +21,7 @@
   isSuspect: false,
   isOnProbation: false,
   wasHolder: false,
-  blocks: 0,
+  shards: 0,
   isUpgraded: true,
   ...fields,
 });
@@ -31,35 +31,35 @@
 test('the order of successors is the same for all, whatever order they know them in, and spreads over controllers', () => {
   const nodes = ['a', 'b', 'c', 'd', 'e'].map((node) => candidate(node));
   const firsts = new Map<string, number>();
-  for (let block = 0; block < 500; block += 1) {
-    const order = names(rankCandidates(block, nodes));
-    assert.deepEqual(names(rankCandidates(block, [...nodes].reverse())), order);
+  for (let shard = 0; shard < 500; shard += 1) {
+    const order = names(rankCandidates(shard, nodes));
+    assert.deepEqual(names(rankCandidates(shard, [...nodes].reverse())), order);
     firsts.set(order[0] ?? '', (firsts.get(order[0] ?? '') ?? 0) + 1);
-    // Another controller that goes moves no block but its own.
+    // Another controller that goes moves no shard but its own.
     const without = nodes.filter(({ node }) => node !== order[4]);
-    assert.deepEqual(names(rankCandidates(block, without)), order.slice(0, 4));
+    assert.deepEqual(names(rankCandidates(shard, without)), order.slice(0, 4));
   }
   assert.ok([...firsts.values()].every((count) => count > 60 && count < 140));
 });
 
-test('a suspect comes last, even with fewer blocks; where all are suspects that is no reason', () => {
-  const [healthy, suspect] = [candidate('a', { blocks: 5 }), candidate('b', { isSuspect: true })];
+test('a suspect comes last, even with fewer shards; where all are suspects that is no reason', () => {
+  const [healthy, suspect] = [candidate('a', { shards: 5 }), candidate('b', { isSuspect: true })];
   assert.deepEqual(names(rankCandidates(0, [suspect, healthy])), ['a', 'b']);
   assert.deepEqual(names(rankCandidates(0, [suspect, { ...healthy, isSuspect: true }])), ['b', 'a']);
 });
 
-test('then count blocks, upgrades, probation, and who owned it last', () => {
+test('then count shards, upgrades, probation, and who owned it last', () => {
   const order = [
     candidate('holder', { wasHolder: true }),
     candidate('returned', { isOnProbation: true }),
     candidate('old', { isUpgraded: false }),
-    candidate('loaded', { blocks: 1 }),
+    candidate('loaded', { shards: 1 }),
     candidate('suspect', { isSuspect: true }),
   ];
   assert.deepEqual(names(rankCandidates(3, [...order].reverse())), names(order));
 });
 
-test('damping: moves of all blocks within a minute are bounded, and a block that moved stays for a while', () => {
+test('damping: moves of all shards within a minute are bounded, and a shard that moved stays for a while', () => {
   const moves = new MoveLimiter(3);
   moves.onOwner(0, 'a', 0);
   assert.ok(moves.allows(0, 0), 'the first owner that is seen is no move');
@@ -70,7 +70,7 @@
   assert.ok(moves.allows(0, 17_000), 'the same owner again is no move');
   moves.onOwner(0, 'a', 20_000);
   moves.onOwner(0, 'b', 36_000);
-  assert.ok(!moves.allows(1, 60_900), 'three within a minute, whatever the block');
+  assert.ok(!moves.allows(1, 60_900), 'three within a minute, whatever the shard');
   assert.ok(moves.allows(1, 61_000));
   assert.ok(!new MoveLimiter(0).allows(0, 0));
   // One that nobody holds needs no time to settle.
@@ -102,14 +102,14 @@
   assert.ok(after.from - before.to < 1_000, `${after.from - before.to} ms without an owner`);
 });
 
-test('an owner that stalled less often keeps its block, and so does one with suspicion off', async () => {
+test('an owner that stalled less often keeps its shard, and so does one with suspicion off', async () => {
   const fewer = await playFault(stallsAgainAndAgain(2), { operator: SUSPICION_ON });
   assert.equal(moveCount(fewer.history), 0);
   const off = await playFault(stallsAgainAndAgain(4), {});
   assert.equal(moveCount(off.history), 0);
 });
 
-test('all controllers stall again and again: nobody is better, so no block moves', async () => {
+test('all controllers stall again and again: nobody is better, so no shard moves', async () => {
   const { history } = await playFault(
     async (play) => {
       const { world } = play;
@@ -123,7 +123,7 @@
   assert.equal(moveCount(history), 0);
 });
 
-test('controllers that take turns in stalling move no more blocks than the bound allows', async () => {
+test('controllers that take turns in stalling move no more shards than the bound allows', async () => {
   const operator = { suspicion: { enabled: true, stalls: 1, moves_per_minute: 2 } };
   const { history } = await playFault(
     async (play) => {
@@ -139,7 +139,7 @@
   assert.ok(moveCount(history) >= 1 && moveCount(history) <= 3, `${moveCount(history)} moves`);
 });
 
-test('an owner that nobody hears gives its block up while it can, not by the end of its lease', async () => {
+test('an owner that nobody hears gives its shard up while it can, not by the end of its lease', async () => {
   const { history } = await playFault(
     async ({ world, owner }) => {
       const pairs = othersThan(world, owner).map((other) => `node-${owner}>node-${other}`);
@@ -153,7 +153,7 @@
   assert.equal(moveCount(history), 1);
 });
 
-/** The owner of the second block dies, and whoever is chosen for it stalls as the choice is written. */
+/** The owner of the second shard dies, and whoever is chosen for it stalls as the choice is written. */
 const chosenOwnerStalls: Fault = async (play) => {
   const { world } = play;
   const second = world.controllers.findIndex(({ node }) => node.owners.has(1));
@@ -173,14 +173,14 @@
   await world.clock.advance(60_000);
 };
 
-test('a block whose chosen owner stalls before it has acquired it goes to another once that one is suspected', async () => {
+test('a shard whose chosen owner stalls before it has acquired it goes to another once that one is suspected', async () => {
   const gapOf = async (operator: Record<string, unknown>): Promise<number> => {
     const { history } = await playFault(chosenOwnerStalls, {
       operator: { ...operator, blocks: 2 },
       controllers: 5,
     });
     const [before, after] = history.intervals
-      .filter(({ block }) => block === 1)
+      .filter(({ shard }) => shard === 1)
       .sort((a, b) => a.from - b.from);
     return (after?.from ?? Infinity) - (before?.to ?? 0);
   };
--- a/test/suspicion-defaults.ts
+++ b/test/suspicion-defaults.ts
@@ -3,7 +3,7 @@
 import { readSuspicionOptions, type SuspicionOptions } from '../src/suspicion/options';
 import { controllerSettings } from './fakes/controller-settings';
 
-/** Reads the defaults, as a controller with a block lease of 5 s does. */
+/** Reads the defaults, as a controller with a shard lease of 5 s does. */
 function readDefaults(): SuspicionOptions {
   const { platform } = controllerSettings(0, {}, 1);
   const options = readSuspicionOptions(makeSettings(platform, { suspicion: { enabled: true } }));
--- a/test/suspicion-handover.test.ts
+++ b/test/suspicion-handover.test.ts
@@ -18,11 +18,11 @@
 import { freezeFor, othersThan, playFault, SUSPICION_ON, usersDuring, type Fault } from './suspicion-steps';
 
 const STALL_MS = 8_000;
-/** Short of the lease, and often enough for the owner to give its block up. */
+/** Short of the lease, and often enough for the owner to give its shard up. */
 const SHORT_STALL_MS = 2_000;
 const SHORT_STALLS = 3;
 
-/** The owner gives its block up in order; whoever logs the step stalls at that moment. */
+/** The owner gives its shard up in order; whoever logs the step stalls at that moment. */
 function stallAt(step: HandoverStep): Fault {
   return async (play) => {
     const { world, owner } = play;
@@ -110,7 +110,7 @@
   handover.abandon();
   const spans = exporter.getFinishedSpans();
   assert.deepEqual(
-    spans.map(({ attributes, events }) => [attributes.block, events.map(({ name }) => name)]),
+    spans.map(({ attributes, events }) => [attributes.shard, events.map(({ name }) => name)]),
     [
       [3, [...TAKEOVER_STEPS]],
       [4, ['chosen', 'abandoned']],
--- a/test/suspicion-messages.test.ts
+++ b/test/suspicion-messages.test.ts
@@ -143,7 +143,7 @@
   assert.equal(suspicion.view().incarnation, 8);
 });
 
-test('garbage over the peer link changes nothing: no block moves, and every controller goes on', async () => {
+test('garbage over the peer link changes nothing: no shard moves, and every controller goes on', async () => {
   const world = new World({ operator: SUSPICION_ON });
   const owner = await world.untilOwned();
   await world.clock.advance(10_000);
--- a/test/suspicion-partitions.test.ts
+++ b/test/suspicion-partitions.test.ts
@@ -65,7 +65,7 @@
   };
 }
 
-// With the state service on neither side every lease ends: who is back first afterwards may own the block.
+// With the state service on neither side every lease ends: who is back first afterwards may own the shard.
 const SIDES = ['the side of the owner', 'the other side', 'both sides', 'neither side'] as const;
 
 const scenarios: { title: string; controllers?: number; fault: Fault; maxMoves: number }[] = [
@@ -117,7 +117,7 @@
   for (const { title, controllers, fault, maxMoves } of scenarios) {
     test(`${title}; suspicion ${name}`, async () => {
       const { history } = await playFault(fault, { controllers, operator });
-      assert.ok(moveCount(history) <= maxMoves, `${moveCount(history)} moves of the block`);
+      assert.ok(moveCount(history) <= maxMoves, `${moveCount(history)} moves of the shard`);
     });
   }
 }
--- a/test/suspicion-stalls.test.ts
+++ b/test/suspicion-stalls.test.ts
@@ -1,4 +1,4 @@
-/** @file Controllers whose processes stand still for a while and go on: one owner for each block at any moment. */
+/** @file Controllers whose processes stand still for a while and go on: one owner for each shard at any moment. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { moveCount, reassignmentTimes } from './fakes/ownership-history';
@@ -45,9 +45,9 @@
 ): Promise<number> {
   const hasReached = (index: number): boolean => {
     const name = `node-${index}`;
-    const block = world.state.data.get('live/block/0')?.data as { owner: string };
+    const shard = world.state.data.get('live/block/0')?.data as { owner: string };
     const lease = world.state.data.get('live/lease/0')?.data as { owner: string; token: number } | undefined;
-    if (step === 'chosen') return block.owner === name;
+    if (step === 'chosen') return shard.owner === name;
     if (lease?.owner !== name) return false;
     return step === 'acquired' || [...world.workers.values()].some(({ baton }) => baton >= lease.token);
   };
@@ -74,10 +74,10 @@
     },
   },
   {
-    title: 'the leader stalls for 8 s while another controller owns the block',
+    title: 'the leader stalls for 8 s while another controller owns the shard',
     fault: async (play) => {
       const { world } = play;
-      // The owner's block goes to another controller, which does not lead.
+      // The owner's shard goes to another controller, which does not lead.
       killFor(play, play.owner, 1_000);
       await world.clock.advance(100);
       const owner = await world.untilOwned();
@@ -132,7 +132,7 @@
     });
   }
 
-  test(`all controllers stall for 4 s: nobody is condemned, no block moves; suspicion ${name}`, async () => {
+  test(`all controllers stall for 4 s: nobody is condemned, no shard moves; suspicion ${name}`, async () => {
     const { history } = await playFault(
       async (play) => {
         const { world } = play;
@@ -145,7 +145,7 @@
     assert.equal(moveCount(history), 0);
   });
 
-  test(`all controllers are slow for 20 s: no block moves; suspicion ${name}`, async () => {
+  test(`all controllers are slow for 20 s: no shard moves; suspicion ${name}`, async () => {
     const { history } = await playFault(
       async ({ world }) => {
         const ends = [...world.controllers.keys()].map((index) => world.slow(index, 300));
--- a/test/suspicion-steps.ts
+++ b/test/suspicion-steps.ts
@@ -16,11 +16,11 @@
 /** How long after the last fault all work must be over, in seconds. */
 const OVER_WITHIN_S = 150;
 
-/** A deployment under work, and the record of who owns its blocks. */
+/** A deployment under work, and the record of who owns its shards. */
 export interface Play {
   readonly world: World;
   readonly history: OwnershipRecorder;
-  /** The controller that owned block 0 before the fault. */
+  /** The controller that owned shard 0 before the fault. */
   readonly owner: number;
 }
 
--- a/test/takeover-steps.ts
+++ b/test/takeover-steps.ts
@@ -6,7 +6,7 @@
   world.network.rule(({ path }) => (path === '/hosts/release' ? 'lose' : undefined));
 }
 
-/** Kills the owner of block 0 for good, and waits for its successor. */
+/** Kills the owner of shard 0 for good, and waits for its successor. */
 export async function replaceOwner(world: World): Promise<number> {
   world.kill(world.owner);
   await world.clock.advance(100);
--- a/test/takeover-unreachable-machines.test.ts
+++ b/test/takeover-unreachable-machines.test.ts
@@ -48,7 +48,7 @@
   world.noRuleBroken();
 });
 
-test('after a takeover a machine that is gone holds up its block only until it is released', async () => {
+test('after a takeover a machine that is gone holds up its shard only until it is released', async () => {
   for (const hasPower of [true, false]) {
     const world = new World();
     await world.submit('req-1', { pieces: 2 }, 60);
--- a/test/transactions.test.ts
+++ b/test/transactions.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Block } from '../src/coordination/block/block';
+import type { Shard } from '../src/coordination/shard/shard';
 import type { NodeContext } from '../src/coordination/node-context';
-import type { Machine } from '../src/coordination/block/machine';
-import { UpRecords } from '../src/coordination/block/up-records';
+import type { Machine } from '../src/coordination/shard/machine';
+import { UpRecords } from '../src/coordination/shard/up-records';
 import { NoAnswer } from '../src/transport/http-client';
 import { FakeClock } from './fakes/clock';
 import type { Fate, Request } from './fakes/network';
@@ -26,11 +26,11 @@
   cancellation: (apply) => has(apply, 'final/', 'state', 'cancelled'),
   'end of a job': (apply) => has(apply, 'final/', 'state', 'done'),
   'completions so far': (apply) => sets(apply, 'live/done/').length > 0,
-  'taking of a block': (apply) =>
+  'taking of a shard': (apply) =>
     sets(apply, 'live/baton').length > 0 && sets(apply, 'live/block/').length > 0,
   'raise of the token': (apply) =>
     sets(apply, 'live/baton').length > 0 && sets(apply, 'live/block/').length === 0,
-  'assignment of a block': (apply) =>
+  'assignment of a shard': (apply) =>
     sets(apply, 'live/block/').length > 0 && sets(apply, 'live/baton').length === 0,
   'record of a rental': (apply) => has(apply, 'live/machine/', 'up', false),
   'record that a machine is up': (apply) => has(apply, 'live/machine/', 'up', true),
@@ -254,15 +254,15 @@
   });
 }
 
-test('a block taken without an answer, and given to another node meanwhile, is let go of', async () => {
+test('a shard taken without an answer, and given to another node meanwhile, is let go of', async () => {
   const world = new World();
   let taker: string | undefined;
   world.network.rule((request) => {
     if (request.path !== '/txn' || taker !== undefined) return undefined;
     const { apply = [] } = request.body as { apply?: Change[] };
-    if (KINDS['taking of a block']?.(apply, []) !== true) return undefined;
+    if (KINDS['taking of a shard']?.(apply, []) !== true) return undefined;
     taker = request.from;
-    // By the time the watch tells the taker that it was carried out, the leader has given the block to another.
+    // By the time the watch tells the taker that it was carried out, the leader has given the shard to another.
     world.clock.after(20, () => {
       const record = world.state.data.get('live/block/0')?.data as Record<string, unknown>;
       const other = [0, 1, 2].map((index) => `node-${index}`).find((node) => node !== taker);
@@ -273,7 +273,7 @@
   });
   await world.clock.advance(10_000);
   assert.ok(taker !== undefined);
-  assert.ok(world.owner >= 0, 'nobody acts for the block');
+  assert.ok(world.owner >= 0, 'nobody acts for the shard');
   const record = world.state.data.get('live/block/0')?.data as { owner: string };
   assert.equal(record.owner, `node-${world.owner}`);
 });
@@ -286,7 +286,7 @@
   world.state.rule((request) => {
     if (request.path !== '/txn') return undefined;
     const { apply = [], guards = [] } = request.body as { apply?: Change[]; guards?: { path: string }[] };
-    if (KINDS['assignment of a block']?.(apply, guards) !== true) return undefined;
+    if (KINDS['assignment of a shard']?.(apply, guards) !== true) return undefined;
     if (replaced && request.from === first) later.push(String(apply[0]?.set));
     if (first !== undefined) return undefined;
     first = request.from;
@@ -301,7 +301,7 @@
   await world.clock.advance(20_000);
   assert.ok(replaced);
   assert.deepEqual(later, []);
-  for (const block of [0, 1, 2]) assert.ok(world.state.data.has(`live/lease/${block}`), `block ${block}`);
+  for (const shard of [0, 1, 2]) assert.ok(world.state.data.has(`live/lease/${shard}`), `shard ${shard}`);
 });
 
 test('a machine whose record is gone is not recorded as up', async () => {
@@ -317,8 +317,8 @@
   const cache = { version: (key: string) => known[key] ?? 0 };
   const settings = { platform: { deployment: { state: { txn_ops: 32, write_rps: 100 } } } };
   const deps = { cache, store, clock, settings, log: { info: () => undefined } } as unknown as NodeContext;
-  const block = { leaseGuard: () => ({ key: 'live/lease/0', version: 3 }) } as unknown as Block;
-  const upRecords = new UpRecords(block, deps);
+  const shard = { leaseGuard: () => ({ key: 'live/lease/0', version: 3 }) } as unknown as Shard;
+  const upRecords = new UpRecords(shard, deps);
   const machine = (id: string): Machine =>
     ({ id, type: { name: 'm4' }, record: { block: 0, up: false } }) as unknown as Machine;
   // The first was returned, and its record deleted, between its report and its turn to be written.
--- a/test/trouble.test.ts
+++ b/test/trouble.test.ts
@@ -211,7 +211,7 @@
   world.noRuleBroken();
 });
 
-test('several blocks: teams and machines are split, and every job is done', async () => {
+test('several shards: teams and machines are split, and every job is done', async () => {
   const world = new World({ operator: { blocks: 2 } });
   await world.submit('req-1', { crew: 'red', pieces: 4 }, 4);
   await world.submit('req-2', { crew: 'blue', pieces: 4 }, 4, 1);
--- a/test/upgrade-steps.ts
+++ b/test/upgrade-steps.ts
@@ -73,7 +73,7 @@
   );
 }
 
-/** The owner is cut from its workers; they come to the controller after it, which gets the block. */
+/** The owner is cut from its workers; they come to the controller after it, which gets the shard. */
 export async function handOver(world: World): Promise<number> {
   const owner = world.controllers[world.owner];
   const heir = (world.owner + 1) % CONTROLLERS.length;
@@ -82,7 +82,7 @@
     const isCommand = from === owner?.name && to.startsWith('10.1.');
     return isReport || isCommand ? 'lose' : undefined;
   });
-  await world.until(`node-${heir} owns the block`, () => world.owner === heir, 40);
+  await world.until(`node-${heir} owns the shard`, () => world.owner === heir, 40);
   heal();
   await world.clock.advance(12_000);
   return heir;
@@ -94,7 +94,7 @@
   await world.until(`${tasks} tasks of ${job} run`, () => running() >= tasks);
 }
 
-/** A deployment whose block is owned, and which is led, by the first controller. */
+/** A deployment whose shard is owned, and which is led, by the first controller. */
 export async function ownedByFirst(versions: Version[]): Promise<World> {
   const world = new World({ versions });
   assert.equal(await world.untilOwned(), 0);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -101,7 +101,7 @@
   });
 }
 
-test('a block goes from old to new and back to old: its record stays whole, and no task is lost', async () => {
+test('a shard goes from old to new and back to old: its record stays whole, and no task is lost', async () => {
   const world = await ownedByFirst([OLD, NEW, OLD]);
   await runTasks(world, 'req-1', 16, 120);
   const record = (): unknown => world.state.data.get('live/block/0')?.data;
