--- a/src/admission/admission-control.ts
+++ b/src/admission/admission-control.ts
@@ -9,8 +9,8 @@
 import { KEY } from '../bookkeeping/records';
 import type { WatchCache } from '../bookkeeping/watch-cache';
 import type { Job } from '../protocol/model';
-import type { Event, Guard, StateStore } from '../protocol/state';
-import { NoAnswer } from '../transport/http-client';
+import type { ChangeEvent, Condition, KeyValueStore } from '../protocol/state';
+import { NoResponseError } from '../transport/http-client';
 import { Busy, type RateLimit } from '../transport/rate-limit';
 import { decide } from './decision';
 import type { Epoch } from './epoch';
@@ -25,14 +25,14 @@
 
 /** What the decisions work on. */
 export interface AdmissionContext {
-  readonly store: StateStore;
+  readonly store: KeyValueStore;
   readonly cache: WatchCache;
   readonly clock: Clock;
   readonly log: Log;
   /** Bounds questions about deferred jobs, so that a flood of submissions leaves polls their requests. */
   readonly lookUps: RateLimit;
   /** Brings a change that the state service has acknowledged into this node's copy, and tells the other nodes. */
-  announce(event: Event): void;
+  publish(event: ChangeEvent): void;
 }
 
 /**
@@ -40,7 +40,7 @@
  * job; the transaction that accepts the job is guarded on the versions of both records. So a controller whose copy is old
  * can defer a job that is admitted elsewhere, and never admits one that the newest records defer.
  *
- * Outside of an overload the guard on the epoch is all that is added: no request and no change.
+ * Outside of an overload the condition on the epoch is all that is added: no request and no change.
  */
 export class AdmissionControl implements AdmissionPolicy {
   /** Steady time at which the present epoch was first seen here. */
@@ -55,21 +55,21 @@
   }
 
   async termsFor(job: Job): Promise<AdmissionTerms> {
-    const { epoch, guard } = await this.#epochFor(job);
-    const guards: Guard[] = [guard];
-    if (!epoch) return { guards, changes: [] };
+    const { epoch, condition } = await this.#epochFor(job);
+    const conditions: Condition[] = [condition];
+    if (!epoch) return { conditions, changes: [] };
     const flow = flowOf(job);
     const key = flowRecordKey(flow);
     const admitted = readAdmitted(this.context.cache.get(key)?.value, epoch.overload);
     const decision = decide(epoch, admitted, job);
     traceDecision(job, epoch, decision);
     if (decision.kind === 'defer') throw new SubmissionDeferred(job.id, decision.retryAfterS);
-    if (decision.kind === 'open') return { guards, changes: [] };
-    guards.push(this.#guard(key));
+    if (decision.kind === 'open') return { conditions, changes: [] };
+    conditions.push(this.#condition(key));
     const { jobClass, team } = flow;
     const { overload } = epoch;
     const value = { class: jobClass, team, overload, admitted: admitted + decision.cost };
-    return { guards, changes: [{ put: key, value }] };
+    return { conditions, changes: [{ put: key, value }] };
   }
 
   async allowsLookUp(): Promise<boolean> {
@@ -83,7 +83,7 @@
   }
 
   async refresh(terms: AdmissionTerms, failedKeys: readonly string[]): Promise<boolean> {
-    const stale = terms.guards.map(({ key }) => key).filter((key) => failedKeys.includes(key));
+    const stale = terms.conditions.map(({ key }) => key).filter((key) => failedKeys.includes(key));
     if (stale.length === 0) return false;
     await this.#readAgain(stale);
     return true;
@@ -92,31 +92,31 @@
   accepted({ changes }: AdmissionTerms, revision: number): void {
     for (const change of changes) {
       if (!('put' in change)) continue;
-      this.context.announce({ key: change.put, version: revision, value: change.value, deleted: false });
+      this.context.publish({ key: change.put, version: revision, value: change.value, deleted: false });
     }
   }
 
-  #guard(key: string): Guard {
+  #condition(key: string): Condition {
     return { key, version: this.context.cache.version(key) };
   }
 
   /**
-   * The epoch in force, undefined while there is no overload, and the guard that proves it. The guard is read together
+   * The epoch in force, undefined while there is no overload, and the condition that proves it. The condition is read together
    * with the epoch: one that is read a turn later might prove the next epoch, by which nothing was decided.
    */
-  async #epochFor(job: Job): Promise<{ epoch: Epoch | undefined; guard: Guard }> {
+  async #epochFor(job: Job): Promise<{ epoch: Epoch | undefined; condition: Condition }> {
     for (let attempt = 0; attempt <= READ_TRIES; attempt += 1) {
-      const guard = this.#guard(KEY.admission);
+      const condition = this.#condition(KEY.admission);
       const found = readEpoch(this.context.cache, (jobClass) => jobClass === job.jobClass);
-      if (found.kind === 'none') return { epoch: undefined, guard };
+      if (found.kind === 'none') return { epoch: undefined, condition };
       if (found.kind === 'malformed') return this.#refuseMalformed();
       if (found.kind === 'epoch') {
         this.#isMalformedReported = false;
-        return { epoch: this.#hasExpired(found.epochMs) ? undefined : found.epoch, guard };
+        return { epoch: this.#hasExpired(found.epochMs) ? undefined : found.epoch, condition };
       }
       await this.#readAgain(found.keys);
     }
-    throw new NoAnswer('the admission epoch is just being written', false);
+    throw new NoResponseError('the admission epoch is just being written', false);
   }
 
   #refuseMalformed(): never {
@@ -127,7 +127,7 @@
         'the admission epoch cannot be read: no job is accepted',
       );
     }
-    throw new NoAnswer('the admission epoch cannot be read', false);
+    throw new NoResponseError('the admission epoch cannot be read', false);
   }
 
   /** Nobody renews it, as admission was switched off at the leader, or by all: to defer for ever would serve nobody. */
@@ -141,7 +141,7 @@
       const entry = await store.get(key);
       if (entry) cache.offer({ ...entry, deleted: false });
       // It was deleted, which the watch will tell of in a moment.
-      else if (cache.get(key)) throw new NoAnswer(`${key} was deleted`, false);
+      else if (cache.get(key)) throw new NoResponseError(`${key} was deleted`, false);
     }
   }
 }
--- a/src/admission/epoch-writer.ts
+++ b/src/admission/epoch-writer.ts
@@ -4,7 +4,7 @@
 import type { FormatGate } from '../bookkeeping/format-gate';
 import { FORMAT, KEY, PREFIX, read } from '../bookkeeping/records';
 import type { WatchCache } from '../bookkeeping/watch-cache';
-import type { Change, Event, Guard, StateStore } from '../protocol/state';
+import type { Change, ChangeEvent, Condition, KeyValueStore } from '../protocol/state';
 import { initialEpoch, nextEpoch, type Epoch } from './epoch';
 import { epochChanges, readEpoch } from './epoch-records';
 import { countMachines, readLoadFacts, type FactsContext } from './load-facts';
@@ -19,15 +19,15 @@
 /** What the epoch writer works on. */
 export interface EpochWriterContext extends FactsContext {
   readonly cache: WatchCache;
-  readonly store: StateStore;
+  readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly log: Log;
   readonly formatGate: FormatGate;
   /** Changes that a transaction may have. */
   readonly changes: number;
-  /** The guard that proves that this node leads; undefined when it doesn't. */
-  leadership(): Guard | undefined;
-  announce(event: Event): void;
+  /** The condition that proves that this node leads; undefined when it doesn't. */
+  leadership(): Condition | undefined;
+  publish(event: ChangeEvent): void;
 }
 
 /**
@@ -62,7 +62,7 @@
       await this.#advance(leadership, this.options);
   }
 
-  async #advance(leadership: Guard, options: AdmissionOptions): Promise<void> {
+  async #advance(leadership: Condition, options: AdmissionOptions): Promise<void> {
     const { cache, clock, log } = this.context;
     const found = readEpoch(cache, () => true);
     if (found.kind === 'stale') return;
@@ -88,16 +88,16 @@
     this.#report(current, next, drainTimeS(load));
   }
 
-  async #write(leadership: Guard, current: Epoch, next: Epoch, epochMs: number): Promise<boolean> {
-    const { store, announce, changes: mostChanges } = this.context;
+  async #write(leadership: Condition, current: Epoch, next: Epoch, epochMs: number): Promise<boolean> {
+    const { store, publish, changes: mostChanges } = this.context;
     const changes = epochChanges(this.#bounded(next, mostChanges - 1), epochMs);
-    const guards = [leadership, this.#guard(KEY.admission)];
-    const result = await store.txn(guards, changes, true);
+    const conditions = [leadership, this.#condition(KEY.admission)];
+    const result = await store.compareAndSwap(conditions, changes, true);
     if (!result.ok) return false;
     // The classes before the epoch that names them: a peer that has the one has the others.
     for (const change of [...changes].reverse()) {
       if (!('put' in change)) continue;
-      announce({ key: change.put, version: result.revision, value: change.value, deleted: false });
+      publish({ key: change.put, version: result.revision, value: change.value, deleted: false });
     }
     return next.number > current.number;
   }
@@ -128,7 +128,7 @@
   }
 
   /** Deletes records of overloads that are over. */
-  async #cleanUp(leadership: Guard, current: Epoch): Promise<void> {
+  async #cleanUp(leadership: Condition, current: Epoch): Promise<void> {
     if (current.isOverloaded) return;
     await this.#deleteSome(leadership, [PREFIX.admissionClass, PREFIX.admissionFlow], (value) => {
       const flow = read.admissionFlow(value);
@@ -137,14 +137,14 @@
   }
 
   /** The switch is off at the leader: an overload in force ends at once for all. */
-  async #switchOff(leadership: Guard): Promise<void> {
+  async #switchOff(leadership: Condition): Promise<void> {
     const { cache, store, log } = this.context;
     if (cache.get(KEY.admission)) {
-      const epoch = this.#guard(KEY.admission);
-      const result = await store.txn([leadership, epoch], [{ delete: KEY.admission }], true);
+      const epoch = this.#condition(KEY.admission);
+      const result = await store.compareAndSwap([leadership, epoch], [{ delete: KEY.admission }], true);
       if (result.ok) {
         log.warn({}, 'admission: switched off at the leader');
-        this.context.announce({ key: KEY.admission, version: result.revision, deleted: true });
+        this.context.publish({ key: KEY.admission, version: result.revision, deleted: true });
       }
       return;
     }
@@ -152,7 +152,7 @@
   }
 
   async #deleteSome(
-    leadership: Guard,
+    leadership: Condition,
     prefixes: readonly string[],
     isOver: (value: unknown) => boolean,
   ): Promise<void> {
@@ -162,16 +162,16 @@
       .filter(({ value }) => isOver(value))
       .slice(0, Math.min(DELETED_AT_ONCE, changes));
     if (over.length === 0) return;
-    const guards = [
+    const conditions = [
       leadership,
-      this.#guard(KEY.admission),
+      this.#condition(KEY.admission),
       ...over.map(({ key, version }) => ({ key, version })),
     ];
     const deletions: Change[] = over.map(({ key }) => ({ delete: key }));
-    await store.txn(guards, deletions);
+    await store.compareAndSwap(conditions, deletions);
   }
 
-  #guard(key: string): Guard {
+  #condition(key: string): Condition {
     return { key, version: this.context.cache.version(key) };
   }
 }
--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -26,7 +26,7 @@
  * wake cut short goes on and serves the next wait: ended and begun anew for each of the hundreds of wakes a second, its
  * timer and the error of its end cost more than what the wake was for (docs/PERFORMANCE.md).
  */
-export class Wake {
+export class WakeSignal {
   #woken = false;
   #resolve: (() => void) | undefined;
   #sleeping = false;
--- a/src/base/loop.ts
+++ b/src/base/loop.ts
@@ -12,12 +12,12 @@
     try {
       await step();
     } catch (error) {
-      deps.log.warn({ loop: name, err: describe(error) }, 'a loop step failed; it goes on');
+      deps.log.warn({ loop: name, err: describeError(error) }, 'a loop step failed; it goes on');
       await deps.clock.sleep(pauseAfterErrorMs, deps.signal);
     }
   }
 }
 
-export function describe(error: unknown): string {
+export function describeError(error: unknown): string {
   return error instanceof Error ? `${error.name}: ${error.message}` : String(error);
 }
--- a/src/base/settings.ts
+++ b/src/base/settings.ts
@@ -102,10 +102,10 @@
    * How long after its owner has heard of a cancellation a worker may go on being answered while a start of that job may
    * still reach it: the shard lease (until the owner hears), this and the worker's lease are under `cancel_s`.
    */
-  cancelDoubtMs: number;
+  cancellationUncertaintyMs: number;
   sockets: SocketShares;
   /** What follows from the share of a core, and the operator's own word where there is one. */
-  pace: Throttling;
+  throttling: Throttling;
   /** Lower limits of the state service that the platform has announced, when it has announced any. */
   nextStateLimits: Partial<StateLimits> | undefined;
   /** What may not work out, by the name of the setting. */
@@ -117,7 +117,7 @@
 /** Left over between the last moment of a cut-off owner's tasks and the bound on cancellations. */
 const CANCEL_MARGIN_MS = 4_000;
 /** A grant of other nodes to an owner (`LeaseExtension`) binds for this long. */
-export const PROMISE_MS = 2_500;
+export const LEASE_EXTENSION_MS = 2_500;
 const MIN_SHARD_LEASE_MS = 2_000;
 /** For timers and messages on their way, where a sum of times has to stay under the bound on cancellations. */
 const TURN_MARGIN_MS = 1_000;
@@ -223,7 +223,7 @@
   const next = readNextLimits(state.next);
   // Within this time an owner has heard of a cancellation, or has stopped. At least 2.5 s are left, by the bound on the
   // shard lease.
-  const hearingMs = Math.max(shardLeaseMs, PROMISE_MS);
+  const hearingMs = Math.max(shardLeaseMs, LEASE_EXTENSION_MS);
   return {
     platform: {
       ...checked,
@@ -232,9 +232,9 @@
     operator: options,
     operatorFile,
     shardLeaseMs,
-    cancelDoubtMs: (workers.cancel_s - workers.lease_s) * 1000 - hearingMs - TURN_MARGIN_MS,
+    cancellationUncertaintyMs: (workers.cancel_s - workers.lease_s) * 1000 - hearingMs - TURN_MARGIN_MS,
     sockets: chooseSockets(checked, platformFile),
-    pace: chooseThrottling(checked, options),
+    throttling: chooseThrottling(checked, options),
     nextStateLimits: next?.limits,
     warnings: warningsFor(quota.mem_mb, next?.unusable ?? [], platformFile),
   };
--- a/src/bookkeeping/admission-policy.ts
+++ b/src/bookkeeping/admission-policy.ts
@@ -1,6 +1,6 @@
 /** @file What the job store asks before it accepts a job. */
 import type { Job } from '../protocol/model';
-import type { Change, Guard } from '../protocol/state';
+import type { Change, Condition } from '../protocol/state';
 
 /** A submission that is not accepted now, and when to submit it again. */
 export class SubmissionDeferred extends Error {
@@ -15,7 +15,7 @@
 
 /** What the transaction that accepts a job has to prove and to write besides the job itself. */
 export interface AdmissionTerms {
-  readonly guards: readonly Guard[];
+  readonly conditions: readonly Condition[];
   readonly changes: readonly Change[];
 }
 
@@ -25,13 +25,13 @@
   termsFor(job: Job): Promise<AdmissionTerms>;
   /** Whether the state service may be asked whether a job that is deferred was accepted before. */
   allowsLookUp(): Promise<boolean>;
-  /** Reads again what the failed guards of an acceptance show to be out of date. True: the terms may have changed. */
+  /** Reads again what the failed conditions of an acceptance show to be out of date. True: the terms may have changed. */
   refresh(terms: AdmissionTerms, failedKeys: readonly string[]): Promise<boolean>;
   /** The job was accepted on these terms, by the transaction with this revision. */
   accepted(terms: AdmissionTerms, revision: number): void;
 }
 
-const NO_TERMS: AdmissionTerms = { guards: [], changes: [] };
+const NO_TERMS: AdmissionTerms = { conditions: [], changes: [] };
 
 /** Accepts every job. */
 export const OPEN_ADMISSION: AdmissionPolicy = {
--- a/src/bookkeeping/dependency-records.ts
+++ b/src/bookkeeping/dependency-records.ts
@@ -1,8 +1,8 @@
 /** @file How a job's list of dependencies is stored. */
 import { jsonBytes } from '../base/state-limits';
 import type { Job } from '../protocol/model';
-import type { Guard, StateStore } from '../protocol/state';
-import { NoAnswer } from '../transport/http-client';
+import type { Condition, KeyValueStore } from '../protocol/state';
+import { NoResponseError } from '../transport/http-client';
 import { KEY, read, type DependencyPartRecord, type JobRecord } from './records';
 import type { WatchCache } from './watch-cache';
 
@@ -12,9 +12,9 @@
 const MAX_TRANSACTION_BYTES = 48 * 1024;
 
 /** The state service takes this many conditions for each change that a transaction may have. */
-const GUARDS_PER_CHANGE = 4;
+const CONDITIONS_PER_CHANGE = 4;
 /** Conditions of an acceptance besides those on parts. */
-const RESERVED_GUARDS = 2;
+const RESERVED_CONDITIONS = 2;
 
 /** Splits a list of job ids so that each part fits a value of the state service. */
 export function splitDependencies(dependencies: readonly string[], valueBytes: number): string[][] {
@@ -51,7 +51,7 @@
 /** A job's record as it is to be written, and the conditions under which its list of dependencies is complete. */
 export interface PreparedJob {
   readonly record: JobRecord;
-  readonly guards: Guard[];
+  readonly conditions: Condition[];
 }
 
 /** What the state service takes of one record and of one transaction. */
@@ -69,26 +69,29 @@
 export async function prepareJobRecord(
   job: Job,
   submittedAt: number,
-  store: StateStore,
+  store: KeyValueStore,
   limits: RecordLimits,
 ): Promise<PreparedJob> {
   const whole: JobRecord = { job, submittedAt };
-  if (!job.dependencies || jsonBytes(whole) <= limits.valueBytes) return { record: whole, guards: [] };
+  if (!job.dependencies || jsonBytes(whole) <= limits.valueBytes) return { record: whole, conditions: [] };
   const { dependencies, ...rest } = job;
   const parts = splitDependencies(dependencies, limits.valueBytes);
   const versions = await writeParts(job.id, parts, store, limits);
-  const guards = versions.map((version, part) => ({ key: KEY.dependencyPart(job.id, part), version }));
-  if (guards.length > limits.changes * GUARDS_PER_CHANGE - RESERVED_GUARDS) {
-    throw new NoAnswer(`the dependencies of ${job.id} need more parts than a transaction can guard`, false);
+  const conditions = versions.map((version, part) => ({ key: KEY.dependencyPart(job.id, part), version }));
+  if (conditions.length > limits.changes * CONDITIONS_PER_CHANGE - RESERVED_CONDITIONS) {
+    throw new NoResponseError(
+      `the dependencies of ${job.id} need more parts than a transaction can guard`,
+      false,
+    );
   }
-  return { record: { job: rest, submittedAt, dependencyParts: parts.length }, guards };
+  return { record: { job: rest, submittedAt, dependencyParts: parts.length }, conditions };
 }
 
 /** Writes the parts that aren't there yet, and returns the version of each. */
 async function writeParts(
   id: string,
   parts: readonly string[][],
-  store: StateStore,
+  store: KeyValueStore,
   limits: RecordLimits,
 ): Promise<number[]> {
   const versions: number[] = [];
@@ -96,14 +99,15 @@
   let bytes = 0;
   const flush = async (): Promise<void> => {
     if (batch.length === 0) return;
-    const guards = batch.map(({ part, version }) => ({ key: KEY.dependencyPart(id, part), version }));
+    const conditions = batch.map(({ part, version }) => ({ key: KEY.dependencyPart(id, part), version }));
     const unaccepted = [
       { key: KEY.job(id), version: 0 },
       { key: KEY.final(id), version: 0 },
     ];
     const changes = batch.map(({ part, value }) => ({ put: KEY.dependencyPart(id, part), value }));
-    const result = await store.txn([...unaccepted, ...guards], changes);
-    if (!result.ok) throw new NoAnswer(`the dependencies of ${id} changed while they were written`, false);
+    const result = await store.compareAndSwap([...unaccepted, ...conditions], changes);
+    if (!result.ok)
+      throw new NoResponseError(`the dependencies of ${id} changed while they were written`, false);
     for (const { part } of batch) versions[part] = result.revision;
     batch = [];
     bytes = 0;
--- a/src/bookkeeping/dependency-tracker.ts
+++ b/src/bookkeeping/dependency-tracker.ts
@@ -1,7 +1,7 @@
 /** @file Keeps the job graph in step with the records. */
-import { Wake, type Clock } from '../base/clock';
-import type { Event } from '../protocol/state';
-import { NoAnswer } from '../transport/http-client';
+import { WakeSignal, type Clock } from '../base/clock';
+import type { ChangeEvent } from '../protocol/state';
+import { NoResponseError } from '../transport/http-client';
 import { recordedDependencies } from './dependency-records';
 import type { FinalStates } from './final-states';
 import { JobGraph } from './job-graph';
@@ -32,14 +32,14 @@
   readonly #unread = new Set<string>();
   /** Jobs whose list of dependencies is stored in parts that the copy lacks. */
   readonly #incomplete = new Set<string>();
-  readonly #wake: Wake;
+  readonly #wake: WakeSignal;
 
   constructor(
     private readonly cache: WatchCache,
     private readonly finals: FinalStates,
     private readonly clock: Clock,
   ) {
-    this.#wake = new Wake(clock);
+    this.#wake = new WakeSignal(clock);
     cache.onChange((event) => {
       this.#onChange(event);
     });
@@ -79,7 +79,7 @@
     if (this.graph.isCondemned(id)) return true;
     if (this.graph.isReady(id)) return false;
     if (this.clock.now() - this.cache.freshAt > MAX_VIEW_AGE_MS) {
-      throw new NoAnswer(`what ${id} waits for is not known here at present`, false);
+      throw new NoResponseError(`what ${id} waits for is not known here at present`, false);
     }
     if (this.#unread.size > 0) await this.#readAncestors(id);
     return this.graph.isCondemned(id);
@@ -89,12 +89,15 @@
     const unread = [...this.graph.unfinishedAncestors(id)].filter((ancestor) => this.#unread.has(ancestor));
     // They are being read in the background; a user would wait too long for so many.
     if (unread.length > READS_AT_ONCE) {
-      throw new NoAnswer(`what became of ${unread.length} jobs before ${id} is still to be read`, false);
+      throw new NoResponseError(
+        `what became of ${unread.length} jobs before ${id} is still to be read`,
+        false,
+      );
     }
     await Promise.all(unread.map((ancestor) => this.finals.read(ancestor)));
   }
 
-  #onChange({ key, value, deleted }: Event): void {
+  #onChange({ key, value, deleted }: ChangeEvent): void {
     if (key.startsWith(PREFIX.dependencyPart)) {
       if (!deleted) this.#addIncomplete(key);
     } else if (key.startsWith(PREFIX.job)) {
--- a/src/bookkeeping/dependent-cancellation.ts
+++ b/src/bookkeeping/dependent-cancellation.ts
@@ -1,6 +1,6 @@
 /** @file Cancels the jobs that need a cancelled one. */
 import type { Clock } from '../base/clock';
-import type { Event, StateStore } from '../protocol/state';
+import type { ChangeEvent, KeyValueStore } from '../protocol/state';
 import type { DependencyTracker } from './dependency-tracker';
 import type { JobStore } from './job-store';
 import { KEY, type FinalRecord } from './records';
@@ -18,14 +18,14 @@
 
 /** What this work needs. */
 export interface CancellationContext {
-  readonly store: StateStore;
+  readonly store: KeyValueStore;
   readonly cache: WatchCache;
   readonly clock: Clock;
   readonly jobs: JobStore;
   readonly dependencies: DependencyTracker;
   /** Changes that a transaction may have. */
   readonly changes: number;
-  announce(event: Event): void;
+  publish(event: ChangeEvent): void;
 }
 
 /**
@@ -62,8 +62,8 @@
   }
 
   async #cancel(cancellations: readonly Cancellation[]): Promise<void> {
-    const { store, jobs, announce } = this.context;
-    const result = await store.txn(
+    const { store, jobs, publish } = this.context;
+    const result = await store.compareAndSwap(
       cancellations.flatMap(({ id, version }) => [
         { key: KEY.job(id), version },
         { key: KEY.final(id), version: 0 },
@@ -77,7 +77,7 @@
     if (!result.ok) return;
     for (const { id, final } of cancellations) {
       jobs.rememberFinal(id, final);
-      announce({ key: KEY.job(id), version: result.revision, deleted: true });
+      publish({ key: KEY.job(id), version: result.revision, deleted: true });
     }
   }
 }
--- a/src/bookkeeping/final-states.ts
+++ b/src/bookkeeping/final-states.ts
@@ -1,7 +1,7 @@
 /** @file Final states of jobs: their records, and a cache of what was read. */
 import type { FinalState, JobStatus } from '../protocol/model';
-import type { Entry, StateStore } from '../protocol/state';
-import { NoAnswer } from '../transport/http-client';
+import type { Entry, KeyValueStore } from '../protocol/state';
+import { NoResponseError } from '../transport/http-client';
 import type { FormatGate } from './format-gate';
 import { KEY, read, type FinalRecord } from './records';
 
@@ -26,7 +26,7 @@
   readonly #listeners: ((status: FinalStatus) => void)[] = [];
 
   constructor(
-    private readonly store: StateStore,
+    private readonly store: KeyValueStore,
     private readonly formatGate: FormatGate,
   ) {}
 
@@ -62,7 +62,7 @@
     if (!entry) return undefined;
     const final = read.final(entry.value);
     // A job that has a record was accepted, whether we can read it or not.
-    if (!final) throw new NoAnswer(`the final state of ${id} can't be read`, false);
+    if (!final) throw new NoResponseError(`the final state of ${id} can't be read`, false);
     return { status: this.learn(id, final), entry };
   }
 }
--- a/src/bookkeeping/format-gate.ts
+++ b/src/bookkeeping/format-gate.ts
@@ -1,7 +1,7 @@
 /** @file When records that the previous version cannot read may be written. */
 import type { Clock } from '../base/clock';
 import type { Log } from '../base/log';
-import type { StateStore } from '../protocol/state';
+import type { KeyValueStore } from '../protocol/state';
 import { FORMAT, KEY, read, RECORD_FORMAT } from './records';
 import type { WatchCache } from './watch-cache';
 
@@ -15,7 +15,7 @@
   readonly node: string;
   /** All controllers that the settings name, this one included. */
   readonly controllers: readonly string[];
-  readonly store: StateStore;
+  readonly store: KeyValueStore;
   readonly cache: WatchCache;
   readonly clock: Clock;
   readonly log: Log;
@@ -95,7 +95,7 @@
     const entry = await this.context.store.get(key);
     if (understands(entry?.value, RECORD_FORMAT)) return true;
     // Guarded, so that a write carried out late can't replace the mark of a newer version.
-    const result = await this.context.store.txn(
+    const result = await this.context.store.compareAndSwap(
       [{ key, version: entry?.version ?? 0 }],
       [{ put: key, value: { format: RECORD_FORMAT } }],
       true,
--- a/src/bookkeeping/job-store.ts
+++ b/src/bookkeeping/job-store.ts
@@ -1,8 +1,8 @@
 /** @file Acceptance, questions and cancellation of jobs, against the state service. */
 import type { Clock } from '../base/clock';
 import type { FinalState, Job, JobStatus } from '../protocol/model';
-import type { Entry, Event, Guard, StateStore, TxnResult } from '../protocol/state';
-import { NoAnswer } from '../transport/http-client';
+import type { Entry, ChangeEvent, Condition, KeyValueStore, CompareAndSwapResult } from '../protocol/state';
+import { NoResponseError } from '../transport/http-client';
 import { SubmissionDeferred, type AdmissionPolicy, type AdmissionTerms } from './admission-policy';
 import { prepareJobRecord, type RecordLimits } from './dependency-records';
 import type { DependencyTracker } from './dependency-tracker';
@@ -27,7 +27,7 @@
 
 /** What the job store works on. */
 export interface JobStoreContext {
-  readonly store: StateStore;
+  readonly store: KeyValueStore;
   readonly cache: WatchCache;
   readonly clock: Clock;
   readonly finals: FinalStates;
@@ -36,7 +36,7 @@
   readonly limits: RecordLimits;
   readonly admission: AdmissionPolicy;
   /** Brings a change that the state service has told us of into this node's view, and tells the other nodes. */
-  announce(event: Event): void;
+  publish(event: ChangeEvent): void;
 }
 
 /** The outcome of a submission. */
@@ -93,7 +93,7 @@
     // tells a user of a cancellation has to know of it when it promises an owner that nothing was cancelled unheard
     // (`LeaseExtension`): so it is in this node's view before any answer leaves.
     if (final.status.state === 'cancelled')
-      this.context.announce({ key: KEY.job(id), version: final.entry.version, deleted: true });
+      this.context.publish({ key: KEY.job(id), version: final.entry.version, deleted: true });
     return final.status;
   }
 
@@ -130,7 +130,7 @@
     }
     const status = await this.find(job.id);
     if (status) return { isNew: false, status };
-    throw new NoAnswer('a submission was not confirmed', true);
+    throw new NoResponseError('a submission was not confirmed', true);
   }
 
   /** An accepted job is never deferred later. Undefined: it wasn't accepted, or that can't be told now. */
@@ -149,11 +149,11 @@
   async #writeAdmitted(job: Job, checked: Job): Promise<boolean> {
     const { store, clock, limits, admission } = this.context;
     let terms = await admission.termsFor(job);
-    const { record, guards } = await prepareJobRecord(checked, clock.date().getTime(), store, limits);
+    const { record, conditions } = await prepareJobRecord(checked, clock.date().getTime(), store, limits);
     for (let attempt = 1; attempt <= ADMISSION_TRIES; attempt += 1) {
-      const result = await this.#write(record, guards, terms);
+      const result = await this.#write(record, conditions, terms);
       if (result?.ok) {
-        this.#announceAccepted(record, result.revision);
+        this.#publishAccepted(record, result.revision);
         admission.accepted(terms, result.revision);
         return true;
       }
@@ -163,25 +163,28 @@
     return false;
   }
 
-  #announceAccepted(record: JobRecord, version: number): void {
-    this.context.announce({ key: KEY.job(record.job.id), version, value: record, deleted: false });
+  #publishAccepted(record: JobRecord, version: number): void {
+    this.context.publish({ key: KEY.job(record.job.id), version, value: record, deleted: false });
   }
 
   async #write(
     record: JobRecord,
-    partGuards: readonly Guard[],
+    partConditions: readonly Condition[],
     terms: AdmissionTerms,
-  ): Promise<TxnResult | undefined> {
+  ): Promise<CompareAndSwapResult | undefined> {
     const key = KEY.job(record.job.id);
     const unaccepted = [
       { key, version: 0 },
       { key: KEY.final(record.job.id), version: 0 },
     ];
-    const guards = [...unaccepted, ...partGuards, ...terms.guards];
+    const conditions = [...unaccepted, ...partConditions, ...terms.conditions];
     try {
-      return await this.context.store.txn(guards, [{ put: key, value: record }, ...terms.changes]);
+      return await this.context.store.compareAndSwap(conditions, [
+        { put: key, value: record },
+        ...terms.changes,
+      ]);
     } catch (error) {
-      if (!(error instanceof NoAnswer)) throw error;
+      if (!(error instanceof NoResponseError)) throw error;
       // It may have been written: read it back. If it is written later still, the user's retry finds it.
       return undefined;
     }
@@ -203,7 +206,7 @@
     if (!dependencies) return job;
     // Only the state service's word proves that every version that may start tasks understands dependencies.
     if (!(await this.context.formatGate.confirmOpen())) {
-      throw new NoAnswer('not all controllers understand dependencies yet', false);
+      throw new NoResponseError('not all controllers understand dependencies yet', false);
     }
     const unfinished: string[] = [];
     for (let from = 0; from < dependencies.length; from += CHECKS_AT_ONCE) {
@@ -242,7 +245,7 @@
       const live = await this.context.store.get(KEY.job(id));
       if (!live) return this.find(id);
       const value = this.finalRecord('cancelled', doneSoFar);
-      const result = await this.context.store.txn(
+      const result = await this.context.store.compareAndSwap(
         [
           { key: KEY.job(id), version: live.version },
           { key: KEY.final(id), version: 0 },
@@ -252,7 +255,7 @@
       );
       if (result.ok) {
         const status = this.rememberFinal(id, value);
-        this.context.announce({ key: KEY.job(id), version: result.revision, deleted: true });
+        this.context.publish({ key: KEY.job(id), version: result.revision, deleted: true });
         return status;
       }
     }
--- a/src/bookkeeping/records.ts
+++ b/src/bookkeeping/records.ts
@@ -17,7 +17,7 @@
 export const RECORD_FORMAT = FORMAT.admission;
 export const KEY = {
   leader: 'live/leader',
-  baton: 'live/baton',
+  fencingToken: 'live/baton',
   types: 'live/types',
   typesPart: (part: number) => `live/types-part/${part}`,
   node: (node: string) => `live/node/${node}`,
@@ -64,7 +64,7 @@
 const nodeRecord = z.object({ lease: z.int() });
 const formatRecord = z.object({ format: z.int().min(1) });
 const leaderRecord = z.object({ node: z.string() });
-const batonRecord = z.object({ next: count });
+const fencingTokenRecord = z.object({ next: count });
 const shardRecord = z.object({
   owner: z.string(),
   teams: z.array(z.string()),
@@ -170,7 +170,7 @@
   node: reader(nodeRecord),
   format: reader(formatRecord),
   leader: reader(leaderRecord),
-  baton: reader(batonRecord),
+  fencingToken: reader(fencingTokenRecord),
   shard: reader(shardRecord),
   lease: reader(leaseRecord),
   machine: reader(machineRecord),
--- a/src/bookkeeping/session.ts
+++ b/src/bookkeeping/session.ts
@@ -1,7 +1,7 @@
 /** @file The node's own lease in the state service. */
 import type { Clock } from '../base/clock';
 import type { Log } from '../base/log';
-import type { StateStore } from '../protocol/state';
+import type { KeyValueStore } from '../protocol/state';
 import { KEY, read } from './records';
 import type { WatchCache } from './watch-cache';
 
@@ -23,7 +23,7 @@
   constructor(
     private readonly node: string,
     private readonly ttlMs: number,
-    private readonly store: StateStore,
+    private readonly store: KeyValueStore,
     private readonly cache: WatchCache,
     private readonly clock: Clock,
     private readonly log: Log,
@@ -85,13 +85,17 @@
     if (previous) {
       // The previous process of this node is dead, for this one replaced it. Its lease is revoked, so that nobody has to
       // wait for its end.
-      await this.store.revoke(previous.lease);
+      await this.store.revokeLease(previous.lease);
       this.log.info({ lease: previous.lease }, 'ended the lease that this node had before');
     }
     const sentAt = this.clock.now();
-    const lease = await this.store.grant(this.ttlMs);
+    const lease = await this.store.grantLease(this.ttlMs);
     // Guarded, so that a late copy from an earlier life of this node can't replace the record.
-    const result = await this.store.txn([{ key, version: 0 }], [{ put: key, value: { lease }, lease }], true);
+    const result = await this.store.compareAndSwap(
+      [{ key, version: 0 }],
+      [{ put: key, value: { lease }, lease }],
+      true,
+    );
     if (!result.ok) return;
     this.#renewedAt = sentAt;
     this.#extendedUntil = -Infinity;
@@ -103,7 +107,7 @@
     const lease = this.#lease;
     if (lease === undefined) return;
     const sentAt = this.clock.now();
-    if (await this.store.extend(lease)) {
+    if (await this.store.renewLease(lease)) {
       this.#renewedAt = sentAt;
     } else {
       this.#lease = undefined;
--- a/src/bookkeeping/shard-count.ts
+++ b/src/bookkeeping/shard-count.ts
@@ -7,6 +7,6 @@
  * follows from a quota would differ between nodes while machines are being changed, and a team must never lie in two
  * shards; else what follows from our own quota. Shard 0 is the first to be written.
  */
-export function shardCount(cache: WatchCache, { operator, pace }: Settings): number {
-  return operator.blocks ?? read.shard(cache.get(KEY.shard(0))?.value)?.of ?? pace.shards;
+export function shardCount(cache: WatchCache, { operator, throttling }: Settings): number {
+  return operator.blocks ?? read.shard(cache.get(KEY.shard(0))?.value)?.of ?? throttling.shards;
 }
--- a/src/bookkeeping/type-records.ts
+++ b/src/bookkeeping/type-records.ts
@@ -1,7 +1,7 @@
 /** @file The record of machine types, whole or in parts. */
 import { jsonBytes } from '../base/state-limits';
 import type { MachineType } from '../protocol/model';
-import type { Change, Guard, StateStore } from '../protocol/state';
+import type { Change, Condition, KeyValueStore } from '../protocol/state';
 import { KEY, PREFIX, read } from './records';
 import type { WatchCache } from './watch-cache';
 
@@ -31,7 +31,7 @@
 
 /** One transaction of those that write the types. */
 interface Batch {
-  guards: Guard[];
+  conditions: Condition[];
   changes: Change[];
 }
 
@@ -51,11 +51,11 @@
 export async function storeTypes(
   types: readonly MachineType[],
   records: Records,
-  store: StateStore,
+  store: KeyValueStore,
   limits: TypeRecordLimits,
 ): Promise<void> {
-  for (const { guards, changes } of typeBatches(types, records, limits)) {
-    const result = await store.txn(guards, changes);
+  for (const { conditions, changes } of typeBatches(types, records, limits)) {
+    const result = await store.compareAndSwap(conditions, changes);
     if (!result.ok) return;
   }
 }
@@ -73,8 +73,8 @@
   const fitsOne = jsonBytes({ types }) <= limits.valueBytes;
   // Once there are parts they are what is read, and stay what is written.
   if (stored === undefined && (fitsOne || !limits.mayUseParts)) {
-    const guard = { key: KEY.types, version: records.version(KEY.types) };
-    return [{ guards: [guard], changes: [{ put: KEY.types, value: { types } }] }];
+    const condition = { key: KEY.types, version: records.version(KEY.types) };
+    return [{ conditions: [condition], changes: [{ put: KEY.types, value: { types } }] }];
   }
   const lists = split(types, limits.valueBytes - OVERHEAD_BYTES);
   if (lists === undefined) return [];
@@ -123,13 +123,13 @@
   const batches: Batch[] = [];
   for (let from = 0; from < changes.length; from += changesAtOnce) {
     const batch = changes.slice(from, from + changesAtOnce);
-    const guards = batch.map((change) => guardOf(change, records));
-    batches.push({ guards, changes: batch });
+    const conditions = batch.map((change) => conditionFor(change, records));
+    batches.push({ conditions, changes: batch });
   }
   return batches;
 }
 
-function guardOf(change: Change, records: Records): Guard {
+function conditionFor(change: Change, records: Records): Condition {
   const key = 'put' in change ? change.put : change.delete;
   return { key, version: records.version(key) };
 }
--- a/src/bookkeeping/watch-cache.ts
+++ b/src/bookkeeping/watch-cache.ts
@@ -1,10 +1,10 @@
 /** @file A copy of the live records, kept up to date by a watch. */
 import type { Clock } from '../base/clock';
-import type { Entry, Event, StateStore } from '../protocol/state';
+import type { Entry, ChangeEvent, KeyValueStore } from '../protocol/state';
 import { DeletionLog, type Deletion } from './deletion-log';
 
 /** Told of a change, and of the value that was there before. */
-type Listener = (event: Event, before: unknown) => void;
+type Listener = (event: ChangeEvent, before: unknown) => void;
 
 /**
  * A copy of all live records, kept by one watch. `freshAt` is the steady time at which the last answered watch was
@@ -14,7 +14,7 @@
   readonly #entries = new Map<string, Entry>();
   /** The same by the first two parts of the key, as they are asked for. */
   readonly #kinds = new Map<string, Map<string, Entry>>();
-  /** Deletions that a nudge told us of ahead of the watch; a nudge that comes later must not bring the key back. */
+  /** Deletions that a notification told us of ahead of the watch; one that comes later must not bring the key back. */
   readonly #deletions = new DeletionLog();
   readonly #listeners: Listener[] = [];
   #revision = 0;
@@ -25,12 +25,12 @@
   loadedAt = Infinity;
 
   constructor(
-    private readonly store: StateStore,
+    private readonly store: KeyValueStore,
     private readonly prefix: string,
     private readonly clock: Clock,
     /** How long a watch waits for news; the copy is never known to be fresher than that. */
     private readonly holdMs: number,
-    /** Least time between two watches; nudges are quicker. */
+    /** Least time between two watches; change notifications are quicker. */
     private readonly paceMs: number,
   ) {}
 
@@ -102,7 +102,7 @@
   }
 
   /** Takes a change that somebody told us of ahead of the watch. */
-  offer(event: Event): void {
+  offer(event: ChangeEvent): void {
     // What the watch has passed already is either here or was changed again since. Before the copy is loaded, or while it
     // is read again, changes count all the same: a deletion that was left out then, and a page read before it, would be
     // missing from a promise given before the next watch is answered.
@@ -138,13 +138,13 @@
     this.loadedAt = this.clock.now();
   }
 
-  #apply(event: Event): void {
+  #apply(event: ChangeEvent): void {
     const held = this.#entries.get(event.key);
     if (held && held.version >= event.version) return;
     const kind = this.#kindOf(event.key);
     const deletedAt = this.#deletions.versionOf(kind, event.key);
     if (deletedAt >= event.version) {
-      // A nudge told of the end before anything told of the beginning: only now is it known what it was that ended.
+      // A notification told of the end before anything told of the beginning: only now is it known what ended.
       const deletion = { key: event.key, version: deletedAt, deleted: true };
       if (!event.deleted) for (const listener of this.#listeners) listener(deletion, event.value);
       return;
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -3,7 +3,7 @@
 import { readAdmissionOptions } from '../admission/options';
 import { readSettings, SettingsError } from '../base/settings';
 import { codec } from '../protocol/codec';
-import { HttpClient, NoAnswer } from '../transport/http-client';
+import { HttpClient, NoResponseError } from '../transport/http-client';
 import { describeSuspicion } from '../suspicion/options';
 import type { PeersReport } from '../suspicion/peers-report';
 import { peersTable } from './peers-table';
@@ -61,7 +61,7 @@
       );
     }
   } catch (error) {
-    if (!(error instanceof NoAnswer)) throw error;
+    if (!(error instanceof NoResponseError)) throw error;
     output.fail(`no answer from ${node}: ${error.message}`, NO_ANSWER);
   } finally {
     http.close();
@@ -142,7 +142,7 @@
     .action((file: string, options: { options?: string }) => {
       const settings = readSettings(file, options.options);
       const { node, deployment } = settings.platform;
-      const { shards: blocks, ...pace } = settings.pace;
+      const { shards: blocks, ...pace } = settings.throttling;
       const summary = {
         node,
         teams: deployment.teams.length,
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -3,7 +3,7 @@
 import { readAdmissionOptions } from '../admission/options';
 import { systemClock } from '../base/clock';
 import { createLog, levelFromEnv, type Log } from '../base/log';
-import { describe, runLoop } from '../base/loop';
+import { describeError, runLoop } from '../base/loop';
 import { systemRandom } from '../base/random';
 import type { Settings } from '../base/settings';
 import { idleNow } from '../base/sockets';
@@ -56,10 +56,10 @@
   if (admission?.isTraced || suspicion?.isTraced) startTracing(log);
   // A process never ends by itself: what no loop caught is logged, and the loops go on.
   process.on('uncaughtException', (error) => {
-    log.error({ err: describe(error), stack: error.stack }, 'uncaught');
+    log.error({ err: describeError(error), stack: error.stack }, 'uncaught');
   });
   process.on('unhandledRejection', (error) => {
-    log.error({ err: describe(error) }, 'unhandled');
+    log.error({ err: describeError(error) }, 'unhandled');
   });
   const signal = new AbortController().signal;
   const peers = platform.others.map(
@@ -98,7 +98,7 @@
     now: () => systemClock.now(),
     encode: (value) => codec.encode(value),
     onError: (error) => {
-      log.error({ err: describe(error) }, 'a request failed');
+      log.error({ err: describeError(error) }, 'a request failed');
     },
   });
   server.server.on('connection', () => {
--- a/src/coordination/fleet/cloud-view.ts
+++ b/src/coordination/fleet/cloud-view.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../../base/clock';
 import { PREFIX } from '../../bookkeeping/records';
 import type { WatchCache } from '../../bookkeeping/watch-cache';
-import { LIST_LIMIT, type Cloud } from '../../protocol/cloud';
+import { MACHINES_PER_PAGE, type Cloud } from '../../protocol/cloud';
 import type { ListedMachine } from '../../protocol/model';
 
 const POLL_MS = 6_000;
@@ -40,10 +40,10 @@
   }
 
   async step(signal: AbortSignal, needed: () => boolean): Promise<void> {
-    if (needed()) this.#listed = await this.cloud.list();
+    if (needed()) this.#listed = await this.cloud.listMachines();
     const now = this.clock.now();
     for (const [id, at] of this.#gone) if (now - at > MEMORY_MS) this.#gone.delete(id);
-    const pages = Math.ceil(this.#listed.length / LIST_LIMIT);
+    const pages = Math.ceil(this.#listed.length / MACHINES_PER_PAGE);
     await this.clock.sleep(Math.max(POLL_MS, pages * MS_PER_PAGE), signal);
   }
 }
--- a/src/coordination/fleet/fleet-manager.ts
+++ b/src/coordination/fleet/fleet-manager.ts
@@ -1,10 +1,10 @@
 /** @file Rents, records and returns a shard's machines. */
-import { Wake } from '../../base/clock';
-import { describe } from '../../base/loop';
+import { WakeSignal } from '../../base/clock';
+import { describeError } from '../../base/loop';
 import { changesAtOnce } from '../../base/state-limits';
 import { KEY, type MachineRecord } from '../../bookkeeping/records';
-import { CloudRefused, MAX_RELEASE, MAX_RENT } from '../../protocol/cloud';
-import type { Guard } from '../../protocol/state';
+import { CloudRejectedError, MAX_MACHINES_PER_DELETE, MAX_MACHINES_PER_CREATE } from '../../protocol/cloud';
+import type { Condition } from '../../protocol/state';
 import type { NodeContext } from '../node-context';
 import { optionKey, planFleet, type FleetInput, type RentOption, type Rental } from './fleet';
 import type { Machine } from '../shard/machine';
@@ -17,7 +17,7 @@
   readonly entitled: boolean;
   /** How many machines report and wait for a record that they are up. */
   readonly awaitedUpRecords: number;
-  leaseGuard(): Guard;
+  leaseCondition(): Condition;
   /** What the last round found no room for, and the present state of the fleet. */
   fleetInput(refused: (option: RentOption) => boolean): FleetInput | undefined;
   /** The cloud confirmed that the machine, and all on it, is gone. */
@@ -49,7 +49,7 @@
 export class FleetManager {
   readonly #refusedUntil = new Map<string, number>();
   readonly #unrecorded = new Map<string, UnrecordedRental>();
-  readonly #recordWake: Wake;
+  readonly #recordWake: WakeSignal;
   /** Returned machines whose records could not be deleted yet. */
   readonly #gone = new Set<string>();
 
@@ -57,7 +57,7 @@
     private readonly fleet: Fleet,
     private readonly deps: NodeContext,
   ) {
-    this.#recordWake = new Wake(deps.clock);
+    this.#recordWake = new WakeSignal(deps.clock);
   }
 
   /** Whether the machine was rented here and has no record yet. */
@@ -117,10 +117,10 @@
       (m) => m.leaving !== undefined && !this.#gone.has(m.id) && (!m.busy || m.leaving === 'silent'),
     );
     if (leaving.length === 0) return;
-    const batch = leaving.slice(0, MAX_RELEASE);
+    const batch = leaving.slice(0, MAX_MACHINES_PER_DELETE);
     // From here on the machine may disappear at any moment, whatever the cloud answers: it is never used again.
     for (const machine of batch) machine.releasing = true;
-    await this.deps.cloud.release(
+    await this.deps.cloud.deleteMachines(
       batch.map((m) => m.id),
       () => this.fleet.entitled,
     );
@@ -135,14 +135,14 @@
     const { state } = this.deps.settings.platform.deployment;
     const ids = [...this.#gone].slice(0, changesAtOnce(state, RECORDS_DELETED_AT_ONCE));
     if (ids.length === 0) return;
-    const result = await this.deps.store.txn(
-      [this.fleet.leaseGuard()],
+    const result = await this.deps.store.compareAndSwap(
+      [this.fleet.leaseCondition()],
       ids.map((id) => ({ delete: KEY.machine(id) })),
     );
     if (!result.ok) return;
     for (const id of ids) {
       this.#gone.delete(id);
-      this.deps.announce({ key: KEY.machine(id), version: result.revision, deleted: true });
+      this.deps.publish({ key: KEY.machine(id), version: result.revision, deleted: true });
     }
   }
 
@@ -150,7 +150,7 @@
   async #rent(rental: Rental, signal: AbortSignal): Promise<void> {
     let left = rental.count;
     while (left > 0 && !signal.aborted && this.fleet.entitled) {
-      const count = Math.min(left, MAX_RENT);
+      const count = Math.min(left, MAX_MACHINES_PER_CREATE);
       const rented = await this.#rentOnce(rental, count, signal);
       if (rented < count) {
         this.#refuse(rental);
@@ -161,9 +161,9 @@
   }
 
   async #rentOnce(rental: Rental, count: number, signal: AbortSignal): Promise<number> {
-    // The request's name is random and used once, so that a retry can't rent twice.
+    // The key is random and used once, so that a retry can't rent twice.
     const request = {
-      name: this.deps.random.uniqueName(),
+      idempotencyKey: this.deps.random.uniqueName(),
       type: rental.type.name,
       zone: rental.zone,
       spot: rental.spot,
@@ -171,15 +171,15 @@
     };
     for (let attempt = 1; attempt <= RENT_TRIES && !signal.aborted && this.fleet.entitled; attempt += 1) {
       try {
-        const ids = await this.deps.cloud.rent(request, () => this.fleet.entitled);
+        const ids = await this.deps.cloud.createMachines(request, () => this.fleet.entitled);
         this.deps.log.info({ ...request, ids }, 'machines rented');
         const rentedAt = this.deps.clock.date().getTime();
         for (const id of ids) this.#unrecorded.set(id, { ...rental, rentedAt, isUp: false });
         this.#recordWake.wake();
         return ids.length;
       } catch (error) {
-        if (error instanceof CloudRefused && error.noCapacity) return 0;
-        this.deps.log.info({ ...request, attempt, err: describe(error) }, 'a rental was not answered');
+        if (error instanceof CloudRejectedError && error.noCapacity) return 0;
+        this.deps.log.info({ ...request, attempt, err: describeError(error) }, 'a rental was not answered');
         await this.deps.clock.sleep(RETRY_MS, signal);
       }
     }
@@ -211,8 +211,11 @@
         .slice(0, changesAtOnce(state, RECORDS_AT_ONCE));
       if (batch.length === 0) return;
       const changes = batch.map(([id, rental]) => ({ put: KEY.machine(id), value: this.#recordOf(rental) }));
-      const guards = changes.map((c) => ({ key: c.put, version: 0 }));
-      const result = await this.deps.store.txn([this.fleet.leaseGuard(), ...guards], changes);
+      const conditions = changes.map((c) => ({ key: c.put, version: 0 }));
+      const result = await this.deps.store.compareAndSwap(
+        [this.fleet.leaseCondition(), ...conditions],
+        changes,
+      );
       for (const [id] of batch) {
         // A machine that has a record already was adopted from the cloud's list; the others are tried again.
         if (result.ok || result.failed.includes(KEY.machine(id))) this.#unrecorded.delete(id);
@@ -222,7 +225,7 @@
         continue;
       }
       for (const { put, value } of changes) {
-        this.deps.announce({ key: put, version: result.revision, value, deleted: false });
+        this.deps.publish({ key: put, version: result.revision, value, deleted: false });
       }
     }
   }
--- a/src/coordination/fleet/fleet.ts
+++ b/src/coordination/fleet/fleet.ts
@@ -1,5 +1,5 @@
 /** @file Plans which machines to rent for waiting work and which idle ones to return. */
-import { takeFrom, type Job, type MachineType, type Resources } from '../../protocol/model';
+import { subtractResources, type Job, type MachineType, type Resources } from '../../protocol/model';
 import { fits, mayUse, zoneAllows } from '../scheduling/placement';
 
 /** A machine of the fleet, as far as renting and returning need to know it. */
@@ -132,7 +132,7 @@
       at = this.#nextBin(job, zones, at);
       const bin = this.#bins[at] ?? this.#rent(work, left, zones);
       if (!bin) break;
-      takeFrom(bin.room, job);
+      subtractResources(bin.room, job);
       increment(zones, bin.option.zone);
       left -= 1;
     }
--- a/src/coordination/machine-types.ts
+++ b/src/coordination/machine-types.ts
@@ -7,7 +7,7 @@
 import type { WatchCache } from '../bookkeeping/watch-cache';
 import type { Cloud } from '../protocol/cloud';
 import type { MachineType } from '../protocol/model';
-import type { StateStore } from '../protocol/state';
+import type { KeyValueStore } from '../protocol/state';
 
 const REFRESH_MS = 60_000;
 const NOT_LOADED_PAUSE_MS = 20;
@@ -17,7 +17,7 @@
   readonly settings: Settings;
   readonly clock: Clock;
   readonly cache: WatchCache;
-  readonly store: StateStore;
+  readonly store: KeyValueStore;
   readonly formatGate: FormatGate;
   readonly cloud: Cloud;
 }
@@ -49,7 +49,7 @@
       return;
     }
     if (this.#types.length === 0 || isLeader) {
-      const types = await cloud.types();
+      const types = await cloud.listMachineTypes();
       this.#types = types;
       const { state } = settings.platform.deployment;
       await storeTypes(types, cache, store, {
--- a/src/coordination/node-context.ts
+++ b/src/coordination/node-context.ts
@@ -13,7 +13,7 @@
 import type { ChainUrgency } from './scheduling/chain-urgency';
 import type { Cloud } from '../protocol/cloud';
 import type { MachineType } from '../protocol/model';
-import type { Event, StateStore } from '../protocol/state';
+import type { ChangeEvent, KeyValueStore } from '../protocol/state';
 import type { Suspicion } from '../suspicion/suspicion';
 import type { HttpCaller } from '../transport/http-client';
 
@@ -26,7 +26,7 @@
   readonly log: Log;
   /** Decides what work to shed under overload. */
   readonly eventLoopDelay: EventLoopDelay;
-  readonly store: StateStore;
+  readonly store: KeyValueStore;
   readonly cache: WatchCache;
   readonly formatGate: FormatGate;
   readonly session: Session;
@@ -42,5 +42,5 @@
   /** The machine types that the cloud offers. */
   types(): readonly MachineType[];
   /** Publishes a change that was just acknowledged to this node's cache and to the peers. */
-  announce(event: Event): void;
+  publish(event: ChangeEvent): void;
 }
--- a/src/coordination/node-services.ts
+++ b/src/coordination/node-services.ts
@@ -18,7 +18,7 @@
 import { WatchCache } from '../bookkeeping/watch-cache';
 import { Cloud } from '../protocol/cloud';
 import { writePeerMessage } from '../protocol/peers';
-import { HttpStateStore, type Event, type StateStore } from '../protocol/state';
+import { HttpKeyValueStore, type ChangeEvent, type KeyValueStore } from '../protocol/state';
 import { readSuspicionOptions } from '../suspicion/options';
 import { Suspicion } from '../suspicion/suspicion';
 import { RateLimit } from '../transport/rate-limit';
@@ -46,10 +46,10 @@
   readonly admission: AdmissionOptions | undefined;
 }
 
-function createStateStore(settings: Settings, { clock, http }: Environment): StateStore {
+function createStateStore(settings: Settings, { clock, http }: Environment): KeyValueStore {
   const { deployment, external } = settings.platform;
   const { rps, write_rps } = deployment.state;
-  return new HttpStateStore(
+  return new HttpKeyValueStore(
     http,
     external.state,
     new RateLimit(clock, rps * RATE_PART, rps * RATE_PART),
@@ -58,15 +58,15 @@
   );
 }
 
-function createCloud({ platform, pace }: Settings, { clock, http }: Environment): Cloud {
-  const rate = (platform.deployment.cloud.rps * CLOUD_RATE_PART) / Math.sqrt(pace.shards);
+function createCloud({ platform, throttling }: Settings, { clock, http }: Environment): Cloud {
+  const rate = (platform.deployment.cloud.rps * CLOUD_RATE_PART) / Math.sqrt(throttling.shards);
   return new Cloud(http, platform.external.cloud, new RateLimit(clock, rate, CLOUD_BURST), CLOUD_TIMEOUT_MS);
 }
 
 function createFormatGate(
   { platform }: Settings,
   { clock, log }: Environment,
-  store: StateStore,
+  store: KeyValueStore,
   cache: WatchCache,
 ): FormatGate {
   const controllers = [platform.node, ...platform.others.map((other) => other.node)];
@@ -122,21 +122,21 @@
 export function createNodeServices(
   settings: Settings,
   environment: Environment,
-  store: StateStore = createStateStore(settings, environment),
+  store: KeyValueStore = createStateStore(settings, environment),
 ): NodeServices {
   const { clock, log, workers, random } = environment;
-  const { platform, shardLeaseMs, pace } = settings;
+  const { platform, shardLeaseMs, throttling } = settings;
   const { node } = platform;
-  const cache = new WatchCache(store, LIVE, clock, shardLeaseMs / WATCHES_PER_LEASE, pace.watchPaceMs);
+  const cache = new WatchCache(store, LIVE, clock, shardLeaseMs / WATCHES_PER_LEASE, throttling.watchPaceMs);
   const session = new Session(node, shardLeaseMs, store, cache, clock, log);
-  const announce = (event: Event): void => {
+  const publish = (event: ChangeEvent): void => {
     cache.offer(event);
-    environment.broadcast(writePeerMessage({ kind: 'nudge', event }));
+    environment.broadcast(writePeerMessage({ kind: 'change notification', event }));
   };
   const formatGate = createFormatGate(settings, environment, store, cache);
   const finals = new FinalStates(store, formatGate);
   const { ended, dependencies } = createJobTracking(settings, cache, finals, clock);
-  const records = { store, cache, clock, dependencies, announce };
+  const records = { store, cache, clock, dependencies, publish };
   const admission = readAdmissionOptions(settings);
   const jobs = createJobStore(settings, admission, { ...records, finals, formatGate, log });
   const cloud = createCloud(settings, environment);
@@ -160,7 +160,7 @@
     workers,
     suspicion: createSuspicion(settings, environment, cache),
     types: () => machineTypes.all,
-    announce,
+    publish,
   };
   const dependentCancellation = new DependentCancellation({
     ...records,
--- a/src/coordination/node.ts
+++ b/src/coordination/node.ts
@@ -1,21 +1,22 @@
 /** @file One controller: wires its parts together, and answers workers, users and peers. */
 import { EpochWriter } from '../admission/epoch-writer';
-import { Wake } from '../base/clock';
+import { WakeSignal } from '../base/clock';
 import type { EventLoopDelay } from '../base/event-loop-delay';
-import { describe, runLoop } from '../base/loop';
+import { describeError, runLoop } from '../base/loop';
 import type { Settings } from '../base/settings';
 import { changesAtOnce } from '../base/state-limits';
 import { isCompletionKey } from '../bookkeeping/completion-records';
 import type { JobStore } from '../bookkeeping/job-store';
 import { KEY, PREFIX, read } from '../bookkeeping/records';
 import { isTypesKey } from '../bookkeeping/type-records';
-import type { JobStatus, MachineType, Report } from '../protocol/model';
+import type { JobStatus, MachineType, WorkerHeartbeat } from '../protocol/model';
 import { readPeerMessage, writePeerMessage, type PeerMessage } from '../protocol/peers';
-import type { Event, StateStore } from '../protocol/state';
+import type { ChangeEvent, KeyValueStore } from '../protocol/state';
 import { FixedTimeout } from '../suspicion/peer-liveness';
 import { areMostUnreachable, PeerReachability } from '../suspicion/peer-reachability';
 import type { PeersReport } from '../suspicion/peers-report';
-import type { ShardOwner, OwnAnswer } from './shard/shard-owner';
+import type { OwnerResponse } from './shard/owner-response';
+import type { ShardOwner } from './shard/shard-owner';
 import type { Environment } from './environment';
 import { CloudView } from './fleet/cloud-view';
 import { JobProgressTable } from './job-progress';
@@ -26,7 +27,7 @@
 import { Leader } from './ownership/leader';
 import { LeaseExtension } from './ownership/lease-extension';
 import { LeaseRelay } from './ownership/lease-relay';
-import { progressMessages } from './ownership/progress-messages';
+import { heartbeatMessages } from './ownership/progress-messages';
 
 const LEADER_PAUSE_MS = 1_000;
 const OWNER_PAUSE_MS = 500;
@@ -53,7 +54,7 @@
 }
 
 /** What a node answers a worker's report. */
-export type ReportAnswer = OwnAnswer | { kind: 'elsewhere'; owner: string | undefined };
+export type HeartbeatResponse = OwnerResponse | { kind: 'elsewhere'; owner: string | undefined };
 
 /** One controller: its copy of the records, its lease, and the shards that it owns. */
 export class Node {
@@ -69,14 +70,14 @@
   readonly #leaseRelay: LeaseRelay;
   readonly #acquisition: ShardAcquisition;
   readonly #progress: JobProgressTable;
-  readonly #leaderWake: Wake;
-  readonly #ownerWake: Wake;
+  readonly #leaderWake: WakeSignal;
+  readonly #ownerWake: WakeSignal;
   readonly #stop = new AbortController();
 
   constructor(
     readonly settings: Settings,
     private readonly environment: Environment,
-    store?: StateStore,
+    store?: KeyValueStore,
   ) {
     const services = createNodeServices(settings, environment, store);
     const { context } = services;
@@ -101,8 +102,8 @@
     );
     this.#acquisition = new ShardAcquisition(context, this.#reachability, this.#leaseExtension);
     this.#leaseRelay = new LeaseRelay(context, this.#reachability);
-    this.#leaderWake = new Wake(clock);
-    this.#ownerWake = new Wake(clock);
+    this.#leaderWake = new WakeSignal(clock);
+    this.#ownerWake = new WakeSignal(clock);
     context.dependencies.onReady(() => {
       for (const owner of this.owners.values()) owner.jobsReady();
     });
@@ -157,9 +158,9 @@
     loop('dependents of cancelled jobs', () => this.#dependentCancellation.step(() => this.#leader.isLeader));
     loop('admission', () => this.#epochWriter.step(signal));
     if (suspicion) loop('suspicion', () => suspicion.step(signal));
-    loop('progress', async () => {
+    loop('heartbeat', async () => {
       await clock.sleep(PROGRESS_MS, signal);
-      this.#shareProgress();
+      this.#sendHeartbeat();
     });
   }
 
@@ -217,29 +218,29 @@
     if (status?.state !== 'cancelled' || dependencies.graph.condemned.size === 0) return status;
     const until = clock.now() + CANCEL_DEPENDENTS_MS;
     await this.#dependentCancellation.cancelCondemned(until).catch((error: unknown) => {
-      log.info({ job: id, err: describe(error) }, 'dependents are still to be cancelled');
+      log.info({ job: id, err: describeError(error) }, 'dependents are still to be cancelled');
     });
     return status;
   }
 
-  report(report: Report): ReportAnswer | Promise<ReportAnswer> {
+  onHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatResponse | Promise<HeartbeatResponse> {
     if (!this.#context.cache.loaded) return { kind: 'undecided' };
     for (const owner of this.owners.values()) {
-      if (owner.stopped || !owner.has(report.machine)) continue;
-      return owner.report(report);
+      if (owner.stopped || !owner.has(heartbeat.machine)) continue;
+      return owner.onHeartbeat(heartbeat);
     }
-    return this.#answerForOtherOwner(report);
+    return this.#answerForOtherOwner(heartbeat);
   }
 
-  #answerForOtherOwner(report: Report): ReportAnswer {
+  #answerForOtherOwner(heartbeat: WorkerHeartbeat): HeartbeatResponse {
     const { cache, node } = this.#context;
-    const record = read.machine(cache.get(KEY.machine(report.machine))?.value);
+    const record = read.machine(cache.get(KEY.machine(heartbeat.machine))?.value);
     // The leader takes it in when the cloud lists it; until then nobody answers for it.
     if (!record) return { kind: 'undecided' };
     const lease = read.lease(cache.get(KEY.lease(record.block))?.value);
     if (!lease || lease.owner === node) return { kind: 'undecided' };
-    this.#reachability.recordRedirect(report.machine, record.block);
-    const relayed = record.up ? this.#leaseRelay.answer(report, record.block) : undefined;
+    this.#reachability.recordRedirect(heartbeat.machine, record.block);
+    const relayed = record.up ? this.#leaseRelay.answer(heartbeat, record.block) : undefined;
     if (relayed) return { kind: 'accepted', ...relayed };
     // Sent back to an owner that is cut off, a worker would spend its lease waiting for it.
     const owner = this.#reachability.reaches(lease.owner, record.block) ? lease.owner : undefined;
@@ -257,19 +258,19 @@
 
   #onPeer(message: PeerMessage): void {
     switch (message.kind) {
-      case 'nudge':
+      case 'change notification':
         this.#context.cache.offer(message.event);
         return;
-      case 'ask':
-        this.#leaseExtension.onRequest(message.ask);
+      case 'lease extension request':
+        this.#leaseExtension.onRequest(message.request);
         return;
-      case 'promise':
-        this.#leaseExtension.onGrant(message.promise);
+      case 'lease extension grant':
+        this.#leaseExtension.onGrant(message.grant);
         return;
-      case 'progress':
-        if (this.#context.suspicion?.accepts(message.progress) === false) return;
-        this.#reachability.onProgress(message.progress);
-        this.#progress.update(message.progress.jobs);
+      case 'heartbeat':
+        if (this.#context.suspicion?.accepts(message.heartbeat) === false) return;
+        this.#reachability.onHeartbeat(message.heartbeat);
+        this.#progress.update(message.heartbeat.jobs);
     }
   }
 
@@ -278,7 +279,7 @@
     return this.#context.suspicion?.report();
   }
 
-  #onChange(event: Event): void {
+  #onChange(event: ChangeEvent): void {
     for (const owner of this.owners.values()) owner.onChange(event);
     const { key } = event;
     if (key.startsWith(PREFIX.relay)) return;
@@ -305,23 +306,23 @@
     }
   }
 
-  #shareProgress(): void {
+  #sendHeartbeat(): void {
     const owners = [...this.owners.values()];
     const jobs = owners.flatMap((owner) => (owner.entitled ? owner.progress() : []));
     this.#progress.update(jobs);
-    const unheard = owners.filter((owner) => {
+    const unreachable = owners.filter((owner) => {
       const { machines, unheard } = owner.hearing();
       return areMostUnreachable(machines, unheard);
     });
     const { suspicion, node } = this.#context;
     const state = {
       from: node,
-      fresh: this.#fresh,
-      unheard: unheard.map((owner) => owner.shard),
-      turnedAway: this.#reachability.redirected(),
+      isViewFresh: this.#fresh,
+      unreachableShards: unreachable.map((owner) => owner.shard),
+      redirected: this.#reachability.redirected(),
       ...(suspicion && { view: suspicion.view() }),
     };
-    for (const message of progressMessages(state, jobs)) {
+    for (const message of heartbeatMessages(state, jobs)) {
       this.environment.broadcast(writePeerMessage(message));
     }
   }
--- a/src/coordination/ownership/leader.ts
+++ b/src/coordination/ownership/leader.ts
@@ -1,7 +1,7 @@
 import { changesAtOnce } from '../../base/state-limits';
 import { shardCount } from '../../bookkeeping/shard-count';
 import { KEY, PREFIX, read, type MachineRecord, type ShardRecord } from '../../bookkeeping/records';
-import type { Guard } from '../../protocol/state';
+import type { Condition } from '../../protocol/state';
 import { liveNodes, rankOwners } from './contenders';
 import { RecordSweep } from './record-sweep';
 import type { CloudView } from '../fleet/cloud-view';
@@ -37,7 +37,7 @@
     const { cache, store, session, node, log } = this.deps;
     if (!cache.loaded || !session.valid || session.lease === undefined) return;
     if (!cache.get(KEY.leader)) {
-      const result = await store.txn(
+      const result = await store.compareAndSwap(
         [{ key: KEY.leader, version: 0 }],
         [{ put: KEY.leader, value: { node }, lease: session.lease }],
         true,
@@ -116,10 +116,10 @@
   }
 
   /**
-   * The guard that proves, inside a transaction, that this node still leads; undefined when it knows that it doesn't.
+   * The condition that proves, inside a transaction, that this node still leads; undefined when it knows that it doesn't.
    * Between two writes of one step another may have become the leader, and its record's version would prove nothing.
    */
-  leadership(): Guard | undefined {
+  leadership(): Condition | undefined {
     return this.isLeader ? { key: KEY.leader, version: this.deps.cache.version(KEY.leader) } : undefined;
   }
 
@@ -136,14 +136,14 @@
       of: shards,
       teams: teams.filter((_, index) => index % shards === shard).map((t) => t.name),
     };
-    const result = await store.txn(
+    const result = await store.compareAndSwap(
       [{ key, version: cache.version(key) }, leadership],
       [{ put: key, value }],
       true,
     );
     if (!result.ok) return false;
     log.info({ shard, owner }, 'shard assigned');
-    this.deps.announce({ key, version: result.revision, value, deleted: false });
+    this.deps.publish({ key, version: result.revision, value, deleted: false });
     return true;
   }
 
@@ -170,12 +170,12 @@
       const value: MachineRecord = { block: shard, address: '', type, zone, spot, up: false, rentedAt };
       return { put: KEY.machine(id), value };
     });
-    const guards = changes.map((c) => ({ key: c.put, version: 0 }));
-    const result = await store.txn([leadership, ...guards], changes);
+    const conditions = changes.map((c) => ({ key: c.put, version: 0 }));
+    const result = await store.compareAndSwap([leadership, ...conditions], changes);
     if (!result.ok) return;
     log.info({ shard, machines: strays.map((m) => m.id) }, 'strays taken in');
     for (const c of changes) {
-      this.deps.announce({ key: c.put, version: result.revision, value: c.value, deleted: false });
+      this.deps.publish({ key: c.put, version: result.revision, value: c.value, deleted: false });
     }
   }
 
@@ -189,7 +189,7 @@
     const most = changesAtOnce(settings.platform.deployment.state, SWEPT_AT_ONCE);
     const orphans = this.#recordSweep.orphans().slice(0, most);
     if (orphans.length === 0) return;
-    await store.txn(
+    await store.compareAndSwap(
       orphans.flatMap(({ key, version, job }) => [
         { key, version },
         { key: job, version: 0 },
--- a/src/coordination/ownership/lease-extension.ts
+++ b/src/coordination/ownership/lease-extension.ts
@@ -1,7 +1,7 @@
 /**
  * @file Extension of a shard owner's lease by its peers during an outage of the state service.
  */
-import { PROMISE_MS } from '../../base/settings';
+import { LEASE_EXTENSION_MS } from '../../base/settings';
 import { shardCount } from '../../bookkeeping/shard-count';
 import { KEY, PREFIX, read } from '../../bookkeeping/records';
 import { DRIFT } from '../../bookkeeping/session';
@@ -39,7 +39,7 @@
     startedAt: number,
   ) {
     // A restarted node may have granted a request before it died, and no longer knows of it.
-    this.#boundUntil = startedAt + PROMISE_MS * (1 + DRIFT);
+    this.#boundUntil = startedAt + LEASE_EXTENSION_MS * (1 + DRIFT);
   }
 
   /** Whether no grant given by this node forbids it to acquire a shard. */
@@ -51,32 +51,32 @@
   async step(signal: AbortSignal): Promise<void> {
     const { clock, session, store, node, cache } = this.deps;
     await clock.sleep(REQUEST_INTERVAL_MS, signal);
-    if (!session.waning || !session.valid || !store.troubled) return;
+    if (!session.waning || !session.valid || !store.isUnavailable) return;
     this.#requestNumber += 1;
     this.#requestedAt.set(this.#requestNumber, clock.now());
     this.#requestedAt.delete(this.#requestNumber - REMEMBERED_REQUESTS);
     this.broadcast({
-      kind: 'ask',
-      ask: { from: node, number: this.#requestNumber, revision: cache.revision },
+      kind: 'lease extension request',
+      request: { from: node, number: this.#requestNumber, revision: cache.revision },
     });
   }
 
   /** Grants a peer's request, or ignores it when this node can reach the state service or has the peer's shard. */
   onRequest(request: LeaseExtensionRequest): void {
     const { clock, store, cache, node } = this.deps;
-    if (!store.troubled || this.isAcquiring() || this.#lostShard(request.from)) return;
+    if (!store.isUnavailable || this.isAcquiring() || this.#lostShard(request.from)) return;
     const ended = cache.deletedSince(PREFIX.job, request.revision);
     // The grant has to name the cancellations that the requester may have missed: it would not learn of them while it
     // acts by grants. If this node no longer remembers all of them, it must not grant.
     if (!ended) return;
-    this.#boundUntil = Math.max(this.#boundUntil, clock.now() + PROMISE_MS * (1 + DRIFT));
-    const promise: LeaseExtensionGrant = {
+    this.#boundUntil = Math.max(this.#boundUntil, clock.now() + LEASE_EXTENSION_MS * (1 + DRIFT));
+    const grant: LeaseExtensionGrant = {
       from: node,
       to: request.from,
       number: request.number,
-      ended: ended.map(({ key, version }) => ({ id: key.slice(PREFIX.job.length), version })),
+      endedJobs: ended.map(({ key, version }) => ({ id: key.slice(PREFIX.job.length), version })),
     };
-    this.broadcast({ kind: 'promise', promise });
+    this.broadcast({ kind: 'lease extension grant', grant });
   }
 
   /** Takes in a peer's grant, and extends the session once all peers have granted. */
@@ -84,16 +84,17 @@
     const { clock, session, cache, node, settings, log } = this.deps;
     const requestedAt = this.#requestedAt.get(grant.number);
     if (grant.to !== node || requestedAt === undefined) return;
-    for (const { id, version } of grant.ended) cache.offer({ key: KEY.job(id), version, deleted: true });
+    for (const { id, version } of grant.endedJobs) cache.offer({ key: KEY.job(id), version, deleted: true });
     const previous = this.#grantedRequestAt.get(grant.from) ?? 0;
     this.#grantedRequestAt.set(grant.from, Math.max(previous, requestedAt));
     // Counted from when the request was sent, which is before any peer can have granted it.
     const oldest = Math.min(
       ...settings.platform.others.map((other) => this.#grantedRequestAt.get(other.node) ?? -Infinity),
     );
-    const until = oldest + PROMISE_MS * (1 - DRIFT) - UNUSED_MS;
+    const until = oldest + LEASE_EXTENSION_MS * (1 - DRIFT) - UNUSED_MS;
     if (until <= clock.now()) return;
-    if (until - session.validUntil > PROMISE_MS / 2) log.info({ until }, 'all peers extended the lease');
+    if (until - session.validUntil > LEASE_EXTENSION_MS / 2)
+      log.info({ until }, 'all peers extended the lease');
     session.prolong(until);
   }
 
--- a/src/coordination/ownership/lease-relay.ts
+++ b/src/coordination/ownership/lease-relay.ts
@@ -4,7 +4,7 @@
 import { shardCount } from '../../bookkeeping/shard-count';
 import { KEY, read } from '../../bookkeeping/records';
 import type { WatchCache } from '../../bookkeeping/watch-cache';
-import type { Order, Report } from '../../protocol/model';
+import type { WorkerCommand, WorkerHeartbeat } from '../../protocol/model';
 import type { NodeContext } from '../node-context';
 import { PEER_TIMEOUT_MS } from '../../suspicion/peer-liveness';
 import type { PeerReachability } from '../../suspicion/peer-reachability';
@@ -13,8 +13,8 @@
 const LINGER_MS = 3_000;
 
 /** Stop commands for the reported attempts whose jobs are over: whoever renews a worker's lease sends them along. */
-export function stopsOfEnded(report: Report, cache: WatchCache): Order[] {
-  return report.attempts
+export function evictionsOfEndedJobs(heartbeat: WorkerHeartbeat, cache: WatchCache): WorkerCommand[] {
+  return heartbeat.attempts
     .filter((attempt) => attempt.phase !== 'exited' && !cache.get(KEY.job(attempt.job)))
     .map(({ job, task, attempt }) => ({ op: 'stop', job, task, attempt, graceS: 0 }));
 }
@@ -77,7 +77,7 @@
 
   async #writeRecord(shard: number, ownLease: number): Promise<void> {
     const key = this.#key(shard);
-    const result = await this.deps.store.txn(
+    const result = await this.deps.store.compareAndSwap(
       [{ key, version: this.deps.cache.version(key) }],
       [{ put: key, value: {}, lease: ownLease }],
       true,
@@ -89,7 +89,11 @@
     const key = this.#key(shard);
     // In this order: no report is answered any more when the record goes.
     this.#relayed.delete(shard);
-    await this.deps.store.txn([{ key, version: this.deps.cache.version(key) }], [{ delete: key }], true);
+    await this.deps.store.compareAndSwap(
+      [{ key, version: this.deps.cache.version(key) }],
+      [{ delete: key }],
+      true,
+    );
   }
 
   #key(shard: number): string {
@@ -102,12 +106,15 @@
    * that is delayed beyond the partition could still be carried out for as long as the relay answers, though its job was
    * cancelled long ago.
    */
-  answer(report: Report, shard: number): { token: number; orders: Order[] } | undefined {
+  answer(
+    heartbeat: WorkerHeartbeat,
+    shard: number,
+  ): { fencingToken: number; commands: WorkerCommand[] } | undefined {
     const { cache, session, node } = this.deps;
     const isRelayed = session.lease !== undefined && this.#relayed.get(shard) === session.lease;
-    if (!isRelayed || !session.validByOwnLease || report.attempts.length === 0) return undefined;
+    if (!isRelayed || !session.validByOwnLease || heartbeat.attempts.length === 0) return undefined;
     const lease = read.lease(cache.get(KEY.lease(shard))?.value);
     if (!lease || lease.owner === node || this.reachability.reaches(lease.owner, shard)) return undefined;
-    return { token: lease.token, orders: stopsOfEnded(report, cache) };
+    return { fencingToken: lease.token, commands: evictionsOfEndedJobs(heartbeat, cache) };
   }
 }
--- a/src/coordination/ownership/progress-messages.ts
+++ b/src/coordination/ownership/progress-messages.ts
@@ -1,15 +1,18 @@
 /** @file Splits what a node tells its peers of its jobs into messages of bounded size. */
-import type { JobProgress, PeerMessage, Progress } from '../../protocol/peers';
+import type { JobProgress, PeerMessage, PeerHeartbeat } from '../../protocol/peers';
 
 /** Jobs in one message, which keeps it well below the largest frame that peers accept. */
 export const JOBS_PER_MESSAGE = 2_000;
 
 /** The messages for any number of jobs; one without jobs where there are none, since it is a sign of life too. */
-export function progressMessages(state: Omit<Progress, 'jobs'>, jobs: readonly JobProgress[]): PeerMessage[] {
+export function heartbeatMessages(
+  state: Omit<PeerHeartbeat, 'jobs'>,
+  jobs: readonly JobProgress[],
+): PeerMessage[] {
   const messages: PeerMessage[] = [];
   for (let from = 0; from === 0 || from < jobs.length; from += JOBS_PER_MESSAGE) {
-    const progress = { ...state, jobs: jobs.slice(from, from + JOBS_PER_MESSAGE) };
-    messages.push({ kind: 'progress', progress });
+    const heartbeat = { ...state, jobs: jobs.slice(from, from + JOBS_PER_MESSAGE) };
+    messages.push({ kind: 'heartbeat', heartbeat });
   }
   return messages;
 }
--- a/src/coordination/ownership/shard-acquisition.ts
+++ b/src/coordination/ownership/shard-acquisition.ts
@@ -66,7 +66,7 @@
     else if (read.shard(cache.get(KEY.shard(shard))?.value)?.owner !== node) {
       owner.stop('the leader gave it to another node');
       // Once the lease is gone the other may take it: nothing leaves here any more.
-      await store.txn([owner.leaseGuard()], [{ delete: KEY.lease(shard) }], true);
+      await store.compareAndSwap([owner.leaseCondition()], [{ delete: KEY.lease(shard) }], true);
     }
     if (!owner.stopped) await this.#handOverUnreachable(owner);
     if (!owner.stopped) await this.#handOverPlanned(owner);
@@ -127,7 +127,7 @@
     const changes = isAssignedHere
       ? [{ put: key, value: { ...record, owner: successor } }, deletion]
       : [deletion];
-    await store.txn([owner.leaseGuard(), { key, version: cache.version(key) }], changes, true);
+    await store.compareAndSwap([owner.leaseCondition(), { key, version: cache.version(key) }], changes, true);
   }
 
   async #acquireAssigned(): Promise<void> {
@@ -160,7 +160,7 @@
    * it as long as our session lives.
    */
   async #deleteLeaseWithoutTables({ key, version }: Entry): Promise<void> {
-    await this.context.store.txn([{ key, version }], [{ delete: key }], true);
+    await this.context.store.compareAndSwap([{ key, version }], [{ delete: key }], true);
   }
 
   /** A handover begins when this node is seen to be chosen, and is broken off when another is. */
@@ -179,15 +179,15 @@
   /** Acquires the lease and draws a token in one transaction. */
   async #acquire(shard: number, record: ShardRecord, sessionLease: number): Promise<AcquisitionOutcome> {
     const { node, cache, session, store, clock, log } = this.context;
-    const token = (read.baton(cache.get(KEY.baton)?.value)?.next ?? 0) + 1;
-    const result = await store.txn(
+    const token = (read.fencingToken(cache.get(KEY.fencingToken)?.value)?.next ?? 0) + 1;
+    const result = await store.compareAndSwap(
       [
         { key: KEY.lease(shard), version: 0 },
         { key: KEY.shard(shard), version: cache.version(KEY.shard(shard)) },
-        { key: KEY.baton, version: cache.version(KEY.baton) },
+        { key: KEY.fencingToken, version: cache.version(KEY.fencingToken) },
       ],
       [
-        { put: KEY.baton, value: { next: token } },
+        { put: KEY.fencingToken, value: { next: token } },
         { put: KEY.lease(shard), value: { owner: node, token }, lease: sessionLease },
         { put: KEY.shard(shard), value: { ...record, holder: node } },
       ],
@@ -204,7 +204,7 @@
       {
         number: shard,
         teams: record.teams,
-        token,
+        fencingToken: token,
         leaseVersion: result.revision,
         takenRevision: result.revision,
       },
@@ -230,7 +230,7 @@
    */
   #mayAcquire({ holder }: ShardRecord): boolean {
     const { cache, node } = this.context;
-    const neverHeld = cache.get(KEY.baton) === undefined;
+    const neverHeld = cache.get(KEY.fencingToken) === undefined;
     return this.leaseExtension.mayAcquireShards || neverHeld || holder === node;
   }
 
--- a/src/coordination/ownership/token.ts
+++ b/src/coordination/ownership/token.ts
@@ -1,7 +1,7 @@
 import { KEY, read } from '../../bookkeeping/records';
 import type { Shard } from '../shard/shard';
 import type { NodeContext } from '../node-context';
-import { issueToken } from '../shard/machine';
+import { fencingTokenOf } from '../shard/machine';
 
 const LOOK_MS = 250;
 /** Between two raises of the token: when an unanswered start is in doubt, and for mere forgetting. */
@@ -9,7 +9,7 @@
 const RAISE_TO_FORGET_MS = 8_000;
 
 /** Raises the shard's token: every worker then refuses what was sent under the lower ones and never answered. */
-export class TokenRaiser {
+export class FencingTokenRaiser {
   #raisedAt: number;
 
   constructor(
@@ -26,12 +26,12 @@
     if (signal.aborted || !this.shard.entitled || !this.#isNeeded(now - this.#raisedAt)) return;
     const { cache, store, session } = this.deps;
     const { shard } = this;
-    const next = (read.baton(cache.get(KEY.baton)?.value)?.next ?? 0) + 1;
-    if (session.lease === undefined || next <= shard.token) return;
-    const result = await store.txn(
-      [shard.leaseGuard(), { key: KEY.baton, version: cache.version(KEY.baton) }],
+    const next = (read.fencingToken(cache.get(KEY.fencingToken)?.value)?.next ?? 0) + 1;
+    if (session.lease === undefined || next <= shard.fencingToken) return;
+    const result = await store.compareAndSwap(
+      [shard.leaseCondition(), { key: KEY.fencingToken, version: cache.version(KEY.fencingToken) }],
       [
-        { put: KEY.baton, value: { next } },
+        { put: KEY.fencingToken, value: { next } },
         {
           put: KEY.lease(shard.number),
           value: { owner: this.deps.node, token: next },
@@ -39,8 +39,8 @@
         },
       ],
     );
-    if (result.ok && next > shard.token) {
-      shard.token = next;
+    if (result.ok && next > shard.fencingToken) {
+      shard.fencingToken = next;
       shard.leaseVersion = result.revision;
       this.#raisedAt = now;
       this.deps.log.debug({ shard: shard.number, token: next }, 'token raised');
@@ -60,7 +60,7 @@
   #find(sinceMs: number): boolean {
     for (const machine of this.shard.machines.values()) {
       for (const a of machine.attempts.values()) {
-        if (issueToken(a.attempt) < this.shard.token || a.inFlight || !a.posted) continue;
+        if (fencingTokenOf(a.attempt) < this.shard.fencingToken || a.inFlight || !a.posted) continue;
         if (a.phase === 'sent' || (a.phase === 'exited' && sinceMs >= RAISE_TO_FORGET_MS)) return true;
       }
     }
--- a/src/coordination/routes.ts
+++ b/src/coordination/routes.ts
@@ -1,13 +1,13 @@
 import { traceSubmission } from '../admission/tracing';
-import { describe } from '../base/loop';
+import { describeError } from '../base/loop';
 import type { Log } from '../base/log';
 import { SubmissionDeferred } from '../bookkeeping/admission-policy';
 import { UnknownDependency } from '../bookkeeping/job-store';
 import type { Job, MachineType } from '../protocol/model';
 import { JOB_ID, readSubmission, typeAllows, writeStanding, writeStatus } from '../protocol/users';
-import { readReport, writeRedirect, writeReportAnswer } from '../protocol/workers';
+import { readHeartbeat, writeRedirect, writeHeartbeatResponse } from '../protocol/workers';
 import type { HttpReply, Route } from '../transport/http-server';
-import type { Node, ReportAnswer } from './node';
+import type { Node, HeartbeatResponse } from './node';
 
 const RETRY_AFTER_S = 1;
 
@@ -25,9 +25,9 @@
   return undefined;
 }
 
-function toWorker(answer: ReportAnswer): HttpReply {
+function toWorker(answer: HeartbeatResponse): HttpReply {
   if (answer.kind === 'accepted') {
-    return { status: 200, body: writeReportAnswer(answer.token, answer.orders) };
+    return { status: 200, body: writeHeartbeatResponse(answer.fencingToken, answer.commands) };
   }
   if (answer.kind === 'elsewhere') return { status: 421, body: writeRedirect(answer.owner) };
   return { status: 503, body: { error: 'not now' } };
@@ -42,7 +42,7 @@
       const { retryAfterS } = error;
       return { status: 503, body: { error: 'deferred', retryAfterS }, retryAfterS };
     }
-    if (error !== undefined) log.debug({ err: describe(error) }, 'a request could not be decided');
+    if (error !== undefined) log.debug({ err: describeError(error) }, 'a request could not be decided');
     return { status: 503, body: { error: 'not now' }, retryAfterS: RETRY_AFTER_S };
   };
   const refused = (status: number, error: string): HttpReply => ({ status, body: { error } });
@@ -126,9 +126,9 @@
       url: '/hello',
       use: 'workers',
       handle: guarded(({ body }) => {
-        const report = readReport(body);
-        if (!report) return { status: 400, body: { error: 'not a report' } };
-        const answer = node.report(report);
+        const heartbeat = readHeartbeat(body);
+        if (!heartbeat) return { status: 400, body: { error: 'not a report' } };
+        const answer = node.onHeartbeat(heartbeat);
         return answer instanceof Promise ? answer.then(toWorker) : toWorker(answer);
       }),
     },
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -1,5 +1,11 @@
 /** @file Chooses nearly empty machines whose tasks can move elsewhere. */
-import { addTo, takeFrom, type Job, type MachineType, type Resources } from '../../protocol/model';
+import {
+  addResources,
+  subtractResources,
+  type Job,
+  type MachineType,
+  type Resources,
+} from '../../protocol/model';
 import { fits, mayUse } from './placement';
 
 /** A running task that might move to another machine. */
@@ -73,11 +79,11 @@
       });
       const taken = to && rooms.get(to.id);
       if (!to || !taken) break;
-      takeFrom(taken, job);
+      subtractResources(taken, job);
       moves.push({ key, to: taken, toId: to.id, needs: job });
     }
     if (moves.length < movable.length) {
-      for (const { to, needs } of moves) addTo(to, needs);
+      for (const { to, needs } of moves) addResources(to, needs);
       continue;
     }
     spare -= room;
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -1,5 +1,11 @@
 /** @file Orders waiting jobs and places their tasks on machines. */
-import { PRIORITY_RANK, takeFrom, type Job, type MachineType, type Resources } from '../../protocol/model';
+import {
+  PRIORITY_RANK,
+  subtractResources,
+  type Job,
+  type MachineType,
+  type Resources,
+} from '../../protocol/model';
 
 /** A job with work waiting, as a round sees it. */
 export interface WaitingJob {
@@ -242,7 +248,7 @@
       for (const { machine, room } of candidates) {
         if (left === 0 || !mayTake()) break;
         while (left > 0 && mayTake() && fits(job, room) && zoneAllows(job, zones, machine.zone)) {
-          takeFrom(room, job);
+          subtractResources(room, job);
           team.cpus += job.cpus;
           team.gpus += job.gpus;
           if (kind === 'aged') {
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,8 +1,8 @@
 /** @file Chooses running tasks to stop so that waiting tasks of more right get their room. */
 import {
-  addTo,
+  addResources,
   PRIORITY_RANK,
-  takeFrom,
+  subtractResources,
   type Job,
   type MachineType,
   type Resources,
@@ -96,7 +96,7 @@
     this.#use = new Map([...input.use].map(([team, use]) => [team, { ...use }]));
     for (const machine of input.machines) {
       const room = { ...machine.free };
-      for (const task of machine.tasks) if (task.stopping) addTo(room, task.job);
+      for (const task of machine.tasks) if (task.stopping) addResources(room, task.job);
       this.#rooms.set(machine.id, room);
     }
   }
@@ -168,7 +168,7 @@
     let loss = 0;
     for (const victim of stoppable) {
       if (fits(job, room)) break;
-      addTo(room, victim.job);
+      addResources(room, victim.job);
       victims.push(victim);
       loss += victim.lossS * victim.job.cpus;
     }
@@ -194,14 +194,14 @@
     if (!room) return;
     for (const victim of victims) {
       this.#stopped.set(victim.key, machine.id);
-      addTo(room, victim.job);
+      addResources(room, victim.job);
       const team = this.#useOf(victim.job.team);
       this.#use.set(victim.job.team, {
         cpus: team.cpus - victim.job.cpus,
         gpus: team.gpus - victim.job.gpus,
       });
     }
-    takeFrom(room, job);
+    subtractResources(room, job);
     const team = this.#useOf(job.team);
     this.#use.set(job.team, { cpus: team.cpus + job.cpus, gpus: team.gpus + job.gpus });
   }
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,4 +1,4 @@
-import { PRIORITY_RANK, takeFrom, type Job } from '../../protocol/model';
+import { PRIORITY_RANK, subtractResources, type Job } from '../../protocol/model';
 import type { Attempts } from '../shard/attempts';
 import type { Shard } from '../shard/shard';
 import { chooseConsolidation, type SparseMachine } from './consolidation';
@@ -81,7 +81,7 @@
       this.#cursor = 0;
       return false;
     }
-    const endAt = this.deps.clock.now() + this.deps.settings.pace.roundBudgetMs;
+    const endAt = this.deps.clock.now() + this.deps.settings.throttling.roundBudgetMs;
     const timeIsUp = (): boolean => this.deps.clock.now() > endAt;
     const turns = order(jobs, this.shard.teams);
     const { use, machines, agedCpus } = this.#roomy(jobs, now);
@@ -241,7 +241,7 @@
    */
   async expire(): Promise<void> {
     // Without the state service nobody can be asked who relays; returning a machine proves its end all the same.
-    if (this.deps.store.troubled || this.#overdue(this.deps.clock.now()).length === 0) return;
+    if (this.deps.store.isUnavailable || this.#overdue(this.deps.clock.now()).length === 0) return;
     if (!(await this.shard.nobodyKeeps())) return;
     // What was kept until a moment ago is in our view by now.
     const now = this.deps.clock.now();
@@ -316,7 +316,7 @@
             fits(job, room) && mayUse(job, { type: m.type, zone: m.record.zone, spot: m.record.spot }),
         );
         if (!found) continue;
-        takeFrom(found.room, job);
+        subtractResources(found.room, job);
         this.deps.log.info({ job: job.id, task: attempt.task, machine: id }, 'eager re-issue: stop first');
         this.attempts.want(machine, attempt, job.checkpointS > 0 ? job.saveS : 0);
       }
--- a/src/coordination/shard/attempts.ts
+++ b/src/coordination/shard/attempts.ts
@@ -27,7 +27,7 @@
     /** A task completed. */
     private readonly completed: () => void,
     /** Orders for the machine are to leave. */
-    private readonly order: (machine: Machine) => void,
+    private readonly scheduleCommands: (machine: Machine) => void,
   ) {}
 
   describe(id: string): Described {
@@ -45,7 +45,7 @@
       this.deps.log.error({ job }, 'a job was placed before its dependencies are done');
       return;
     }
-    const number = attemptNumber(this.shard.token, this.shard.nextCounter());
+    const number = attemptNumber(this.shard.fencingToken, this.shard.nextCounter());
     const key = attemptKey(job, task, number);
     machine.put({
       ...{ key, job, task, attempt: number, ...described(table.job), aged },
@@ -54,7 +54,7 @@
     });
     machine.useImage(table.job.image, table.job.imageGb);
     table.issue(task, machine.id, key);
-    this.order(machine);
+    this.scheduleCommands(machine);
     this.deps.log.debug({ job, task, machine: id, attempt: number }, 'task issued');
   }
 
@@ -63,7 +63,7 @@
     if (attempt.phase === 'exited') return;
     if (attempt.stop && attempt.stop.graceS <= graceS) return;
     attempt.stop = { graceS, since: this.deps.clock.now() };
-    this.order(machine);
+    this.scheduleCommands(machine);
   }
 
   closeJob(id: string): void {
@@ -83,7 +83,8 @@
     for (const [attempt, machine] of this.#ended) {
       const isGone = attempt.phase === 'exited' || machine.attempts.get(attempt.key) !== attempt;
       if (isGone) this.#ended.delete(attempt);
-      else if (now - (attempt.endedSince ?? now) > this.deps.settings.cancelDoubtMs) yield [attempt, machine];
+      else if (now - (attempt.endedSince ?? now) > this.deps.settings.cancellationUncertaintyMs)
+        yield [attempt, machine];
     }
   }
 
--- a/src/coordination/shard/commander.ts
+++ b/src/coordination/shard/commander.ts
@@ -1,12 +1,12 @@
-import { describe } from '../../base/loop';
-import type { Order, Report } from '../../protocol/model';
+import { describeError } from '../../base/loop';
+import type { WorkerCommand, WorkerHeartbeat } from '../../protocol/model';
 import type { Attempts } from './attempts';
 import type { Shard } from './shard';
-import { sendCommand, type CommandResult } from './commands';
+import { sendCommands, type CommandResult } from './commands';
 import type { NodeContext } from '../node-context';
-import { issueToken, type Attempt, type Machine } from './machine';
+import { fencingTokenOf, type Attempt, type Machine } from './machine';
 
-const MAX_ORDERS = 200;
+const MAX_COMMANDS = 200;
 /** Between two questions to a machine that has not shown our token, or that hears nothing. */
 const ASK_EVERY_MS = 1_000;
 /**
@@ -19,7 +19,7 @@
 
 /** Sends each worker the difference between what is wanted of it and what is on it. */
 export class Commander {
-  /** Machines with something to be ordered, in the order in which they came to have it. */
+  /** Machines with commands to be sent, in the order in which they came to have it. */
   readonly #due = new Set<Machine>();
   readonly #out = new Set<Machine>();
   readonly #mostOut: number;
@@ -33,7 +33,7 @@
     private readonly shard: Shard,
     private readonly attempts: () => Attempts,
     private readonly deps: NodeContext,
-    private readonly absorb: (machine: Machine, report: Report) => void,
+    private readonly absorb: (machine: Machine, heartbeat: WorkerHeartbeat) => void,
   ) {
     this.#mostOut = deps.settings.sockets.commands;
   }
@@ -43,7 +43,7 @@
     return this.#out.size;
   }
 
-  /** The machine is to be sent its orders at the end of the round. */
+  /** The machine is to be sent its commands at the end of the round. */
   due(machine: Machine): void {
     this.#due.add(machine);
   }
@@ -97,26 +97,27 @@
   }
 
   /** What is wanted of the machine. Starts go by command only: a command's answer tells what became of them. */
-  orders(machine: Machine, withStarts: boolean): Order[] {
-    const orders: Order[] = [];
+  commandsFor(machine: Machine, withStarts: boolean): WorkerCommand[] {
+    const commands: WorkerCommand[] = [];
     for (const attempt of machine.attempts.values()) {
-      if (orders.length >= MAX_ORDERS) break;
+      if (commands.length >= MAX_COMMANDS) break;
       const { job, task, attempt: number } = attempt;
       if (attempt.phase === 'exited') {
         const table = this.shard.tables.get(job);
         // A completion is forgotten only once it is recorded: until then the worker is who remembers it.
         const settled = attempt.cause !== 'done' || !table || table.recorded.has(task);
-        if (settled && machine.mayForget(attempt)) orders.push({ op: 'forget', job, task, attempt: number });
+        if (settled && machine.mayForget(attempt))
+          commands.push({ op: 'forget', job, task, attempt: number });
       } else if (attempt.stop) {
         const saving = attempt.phase === 'saving' && attempt.stop.graceS > 0;
         if (attempt.posted && !saving) {
-          orders.push({ op: 'stop', job, task, attempt: number, graceS: attempt.stop.graceS });
+          commands.push({ op: 'stop', job, task, attempt: number, graceS: attempt.stop.graceS });
         }
       } else if (withStarts && !attempt.posted) {
-        orders.push({ op: 'start', job, task, attempt: number });
+        commands.push({ op: 'start', job, task, attempt: number });
       }
     }
-    return orders;
+    return commands;
   }
 
   /** Sends the difference straight to the worker; with `asks` also when there is none, to hear from it. */
@@ -126,43 +127,43 @@
     for (const attempt of unsent) {
       // A start that has not left and is no longer wanted never will. Nor will one that was numbered under an
       // earlier token: its number must name the token that it is sent with, for that is what ends all doubt about it.
-      if (attempt.stop || issueToken(attempt.attempt) !== this.shard.token)
+      if (attempt.stop || fencingTokenOf(attempt.attempt) !== this.shard.fencingToken)
         this.attempts().neverStarted(machine, attempt.key);
     }
     // What is asked of a machine that hears nothing holds no starts: they would be stuck there.
-    const orders = this.orders(machine, machine.deafSince === undefined);
-    if (orders.length === 0 && !asks) return;
-    const starts = orders.filter((o) => o.op === 'start').length;
+    const commands = this.commandsFor(machine, machine.deafSince === undefined);
+    if (commands.length === 0 && !asks) return;
+    const starts = commands.filter((o) => o.op === 'start').length;
     const sent = unsent.filter((a) => machine.attempts.has(a.key)).slice(0, starts);
     for (const attempt of sent) {
       attempt.posted = true;
       attempt.inFlight = true;
     }
     this.#out.add(machine);
-    const session = machine.session > 0 ? machine.session : machine.sessionHint;
+    const incarnation = machine.incarnation > 0 ? machine.incarnation : machine.unverifiedIncarnation;
     const command = {
       address: machine.record.address,
-      token: this.shard.token,
-      session,
-      orders,
-      mayLeave: () => this.shard.entitled,
+      fencingToken: this.shard.fencingToken,
+      incarnation,
+      commands,
+      maySend: () => this.shard.entitled,
     };
-    void sendCommand(this.deps.workers, command)
+    void sendCommands(this.deps.workers, command)
       .then((result) => {
         this.#out.delete(machine);
         this.#askedLately.delete(machine);
         if (this.shard.machines.get(machine.id) === machine && !machine.gone) {
-          this.#answered(machine, session, sent, result);
+          this.#answered(machine, incarnation, sent, result);
         }
         this.flush();
         this.#askNext();
       })
       .catch((error: unknown) => {
-        this.deps.log.error({ machine: machine.id, err: describe(error) }, 'a command failed');
+        this.deps.log.error({ machine: machine.id, err: describeError(error) }, 'a command failed');
       });
   }
 
-  #answered(machine: Machine, session: number, sent: readonly Attempt[], result: CommandResult): void {
+  #answered(machine: Machine, incarnation: number, sent: readonly Attempt[], result: CommandResult): void {
     for (const attempt of sent) attempt.inFlight = false;
     machine.unanswered = result.kind === 'unknown' || result.kind === 'not sent';
     const now = this.deps.clock.now();
@@ -190,7 +191,7 @@
       return;
     }
     // The first command to a machine whose session we did not know yet is refused; the answer tells it.
-    const again = !machine.settled && machine.session !== session;
+    const again = !machine.settled && machine.incarnation !== incarnation;
     // One that refuses us for another reason is asked again at the pace of rounds.
     if (again || result.kind === 'done') this.#command(machine, again);
     else this.due(machine);
--- a/src/coordination/shard/commands.ts
+++ b/src/coordination/shard/commands.ts
@@ -1,13 +1,13 @@
 /** @file Commands to workers. */
-import type { Order, Report } from '../../protocol/model';
-import { parseReport, writeCommand } from '../../protocol/workers';
-import { NoAnswer, type HttpCaller } from '../../transport/http-client';
+import type { WorkerCommand, WorkerHeartbeat } from '../../protocol/model';
+import { parseHeartbeat, writeCommandRequest } from '../../protocol/workers';
+import { NoResponseError, type HttpCaller } from '../../transport/http-client';
 
 /** What became of a command. */
 export type CommandResult =
-  | { kind: 'done'; report: Report }
+  | { kind: 'done'; report: WorkerHeartbeat }
   /** Not executed: token or session did not match. */
-  | { kind: 'refused'; report: Report | undefined }
+  | { kind: 'refused'; report: WorkerHeartbeat | undefined }
   | { kind: 'not sent' }
   /** It may have been executed, and may still be, much later. */
   | { kind: 'unknown' };
@@ -15,27 +15,27 @@
 const TIMEOUT_MS = 2_000;
 
 /** A command to a worker, and under what it is sent. */
-export interface Command {
+export interface CommandRequest {
   readonly address: string;
-  readonly token: number;
-  readonly session: number;
-  readonly orders: readonly Order[];
+  readonly fencingToken: number;
+  readonly incarnation: number;
+  readonly commands: readonly WorkerCommand[];
   /** Whether the sender still has the right to act; asked right before the command leaves. */
-  mayLeave(): boolean;
+  maySend(): boolean;
 }
 
-/** Sends orders straight to a worker. */
-export async function sendCommand(http: HttpCaller, command: Command): Promise<CommandResult> {
-  const { address, token, session, orders } = command;
-  const body = writeCommand(token, session, orders);
+/** Sends commands straight to a worker. */
+export async function sendCommands(http: HttpCaller, command: CommandRequest): Promise<CommandResult> {
+  const { address, fencingToken, incarnation, commands } = command;
+  const body = writeCommandRequest(fencingToken, incarnation, commands);
   try {
-    const answer = await http.call(address, 'POST', '/do', body, TIMEOUT_MS, () => command.mayLeave());
-    const report = parseReport(answer.body);
+    const answer = await http.call(address, 'POST', '/do', body, TIMEOUT_MS, () => command.maySend());
+    const report = parseHeartbeat(answer.body);
     if (answer.status === 200 && report) return { kind: 'done', report };
     if (answer.status === 409 || answer.status === 400) return { kind: 'refused', report };
     return { kind: 'unknown' };
   } catch (error) {
-    if (error instanceof NoAnswer && !error.maybeExecuted) return { kind: 'not sent' };
+    if (error instanceof NoResponseError && !error.mayHaveExecuted) return { kind: 'not sent' };
     return { kind: 'unknown' };
   }
 }
--- a/src/coordination/shard/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -4,7 +4,7 @@
   attemptKey,
   type ExitCause,
   type MachineType,
-  type Report,
+  type WorkerHeartbeat,
   type Resources,
 } from '../../protocol/model';
 
@@ -53,7 +53,7 @@
   return token * ATTEMPTS_PER_TOKEN + (counter % ATTEMPTS_PER_TOKEN);
 }
 
-export function issueToken(attempt: number): number {
+export function fencingTokenOf(attempt: number): number {
   return Math.floor(attempt / ATTEMPTS_PER_TOKEN);
 }
 
@@ -86,9 +86,9 @@
   /** Sums over the attempts that hold room, kept up to date: rounds ask for them for every machine. */
   readonly #used: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
   #holding = 0;
-  session = 0;
+  incarnation = 0;
   sequence = -1;
-  tokenSeen = 0;
+  fencingTokenSeen = 0;
   /** Steady time of the last report that was newer than what we knew. */
   heardAt: number | undefined;
   /** The worker's lease can't have begun later: no report sent after this was answered, and no session is younger. */
@@ -104,7 +104,7 @@
    */
   deafSince: number | undefined;
   /** The session that an unproven report named: good enough to address a question, and for nothing else. */
-  sessionHint = 0;
+  unverifiedIncarnation = 0;
   /** How many reports came since the takeover that may have been copies from before it. */
   unproven = 0;
   /** Since when this owner knows it. */
@@ -149,7 +149,7 @@
     this.up = record.up;
     this.wasNeverAnswered = !record.up;
     this.idleSince = takenAt;
-    // A machine that was never answered and never sent an order can't hold a task.
+    // A machine that was never answered and never sent a command can't hold a task.
     this.settled = this.wasNeverAnswered;
   }
 
@@ -249,9 +249,10 @@
   }
 
   /** Whether this message is newer than all that we know of the worker. */
-  isNews(report: Report): boolean {
+  isNewer(heartbeat: WorkerHeartbeat): boolean {
     return (
-      report.session > this.session || (report.session === this.session && report.sequence > this.sequence)
+      heartbeat.incarnation > this.incarnation ||
+      (heartbeat.incarnation === this.incarnation && heartbeat.sequence > this.sequence)
     );
   }
 
@@ -259,32 +260,37 @@
    * Takes over what a message of the worker says. `describe` gives the needs of an attempt that we did not issue.
    * Messages come late and out of order: an old one must change nothing.
    */
-  absorb(report: Report, now: number, leaseMs: number, describe: (job: string) => Described): Change[] {
-    if (!this.isNews(report)) return [];
+  reconcile(
+    heartbeat: WorkerHeartbeat,
+    now: number,
+    leaseMs: number,
+    describe: (job: string) => Described,
+  ): Change[] {
+    if (!this.isNewer(heartbeat)) return [];
     const changes: Change[] = [];
-    if (report.session > this.session) {
+    if (heartbeat.incarnation > this.incarnation) {
       // A later session proves that everything of the earlier ones is gone, late commands for them included.
       changes.push(...this.dropAll());
       // We answered it not long ago, yet its lease ran out: our answers don't reach it.
-      if (this.session > 0 && now - this.renewedAt < leaseMs / 2) this.deafSince ??= now;
-      this.session = report.session;
+      if (this.incarnation > 0 && now - this.renewedAt < leaseMs / 2) this.deafSince ??= now;
+      this.incarnation = heartbeat.incarnation;
       // A session has a full lease from its beginning, which may be as late as now, though no report of it was ever
       // answered: counted from an earlier answer, its tasks would be taken for dead while they run.
       this.answeredAt = Math.max(this.answeredAt, now);
       this.renewedAt = now;
       this.images.clear();
     }
-    this.sequence = report.sequence;
-    this.tokenSeen = Math.max(this.tokenSeen, report.token);
+    this.sequence = heartbeat.sequence;
+    this.fencingTokenSeen = Math.max(this.fencingTokenSeen, heartbeat.fencingToken);
     this.heardAt = now;
-    if (report.noticeS !== null) {
-      const until = now + report.noticeS * 1000;
+    if (heartbeat.spotNoticeS !== null) {
+      const until = now + heartbeat.spotNoticeS * 1000;
       this.noticeUntil = Math.min(this.noticeUntil ?? Infinity, until);
     } else {
       this.noticeUntil = undefined;
     }
     const reported = new Set<string>();
-    for (const r of report.attempts) {
+    for (const r of heartbeat.attempts) {
       const key = attemptKey(r.job, r.task, r.attempt);
       reported.add(key);
       let attempt = this.#attempts.get(key);
@@ -301,7 +307,7 @@
       if (r.phase === attempt.phase) continue;
       this.#enter(attempt, r.phase);
       attempt.cause = r.cause;
-      attempt.saved = r.saved;
+      attempt.saved = r.hasCheckpoint;
       if (r.phase === 'running' || r.phase === 'saving') {
         attempt.runningSince ??= now;
         this.useImage(attempt.image, attempt.imageGb);
@@ -324,7 +330,10 @@
    * match; so its absence from a report proves nothing before the worker has seen a higher token.
    */
   mayStillStart(attempt: Attempt): boolean {
-    return attempt.inFlight || (attempt.phase === 'sent' && this.tokenSeen <= issueToken(attempt.attempt));
+    return (
+      attempt.inFlight ||
+      (attempt.phase === 'sent' && this.fencingTokenSeen <= fencingTokenOf(attempt.attempt))
+    );
   }
 
   /**
@@ -332,7 +341,11 @@
    * worker refuses the token of that start.
    */
   mayForget(attempt: Attempt): boolean {
-    return attempt.phase === 'exited' && !attempt.inFlight && this.tokenSeen > issueToken(attempt.attempt);
+    return (
+      attempt.phase === 'exited' &&
+      !attempt.inFlight &&
+      this.fencingTokenSeen > fencingTokenOf(attempt.attempt)
+    );
   }
 
   /** The start certainly never happened (refused, or never sent). */
--- a/src/coordination/shard/recorder.ts
+++ b/src/coordination/shard/recorder.ts
@@ -1,9 +1,9 @@
-import { Wake } from '../../base/clock';
+import { WakeSignal } from '../../base/clock';
 import { changesAtOnce, valueBytes } from '../../base/state-limits';
 import { shardCount } from '../../bookkeeping/shard-count';
 import { completionLayout, groupByRecord, readCompletions } from '../../bookkeeping/completion-records';
 import { KEY, type FinalRecord } from '../../bookkeeping/records';
-import type { Change, Guard } from '../../protocol/state';
+import type { Change, Condition } from '../../protocol/state';
 import type { NodeContext } from '../node-context';
 import type { DispatchTable } from './dispatch-table';
 
@@ -11,8 +11,8 @@
 export interface Recorded {
   readonly tables: ReadonlyMap<string, DispatchTable>;
   readonly entitled: boolean;
-  /** The guard that proves, inside every transaction, that we still own the shard. */
-  leaseGuard(): Guard;
+  /** The condition that proves, inside every transaction, that we still own the shard. */
+  leaseCondition(): Condition;
   /** The job is over: done or cancelled. */
   closeJob(id: string): void;
   /** Recorded completions may now be forgotten by their workers. */
@@ -26,7 +26,7 @@
   recordKeys: string[];
   /** The final state that is written with the last completions. */
   final: FinalRecord | undefined;
-  guards: Guard[];
+  conditions: Condition[];
   changes: Change[];
 }
 
@@ -40,14 +40,14 @@
 
 /** Writes completions to the state service in batches: one transaction covers many jobs. */
 export class Recorder {
-  readonly #wake: Wake;
+  readonly #wake: WakeSignal;
   #bitmapsAt = -Infinity;
 
   constructor(
     private readonly shard: Recorded,
     private readonly deps: NodeContext,
   ) {
-    this.#wake = new Wake(deps.clock);
+    this.#wake = new WakeSignal(deps.clock);
   }
 
   wake(): void {
@@ -118,7 +118,7 @@
     const { id, tasks } = table.job;
     const final = this.deps.jobs.finalRecord('done', tasks);
     // The last completions and the final state are one write, guarded on the record that a cancellation deletes.
-    const guards: Guard[] = [
+    const conditions: Condition[] = [
       { key: KEY.job(id), version: table.version },
       { key: KEY.final(id), version: 0 },
     ];
@@ -128,11 +128,11 @@
     const room = Math.max(0, changesAtOnce(state) - changes.length);
     const deleted = [...table.recordVersions].slice(0, room);
     for (const [key, version] of deleted) {
-      guards.push({ key, version });
+      conditions.push({ key, version });
       changes.push({ delete: key });
     }
     const recordKeys = deleted.map(([key]) => key);
-    return { table, tasks: [...table.unrecorded], recordKeys, final, guards, changes };
+    return { table, tasks: [...table.unrecorded], recordKeys, final, conditions, changes };
   }
 
   /** Records completions in at most so many records, those first whose completions have waited longest. */
@@ -146,21 +146,21 @@
       0,
       Math.min(changesAtOnce(state, mostRecords), fitting),
     );
-    const guards: Guard[] = [{ key: KEY.job(job.id), version: table.version }];
+    const conditions: Condition[] = [{ key: KEY.job(job.id), version: table.version }];
     const changes: Change[] = [];
     for (const { record, tasks } of groups) {
-      guards.push({ key: record.key, version: table.recordVersions.get(record.key) ?? 0 });
+      conditions.push({ key: record.key, version: table.recordVersions.get(record.key) ?? 0 });
       changes.push({ put: record.key, value: { bits: table.encodeRecord(record, tasks) } });
     }
     const tasks = groups.flatMap((group) => group.tasks);
     const recordKeys = groups.map((group) => group.record.key);
-    return { table, tasks, recordKeys, final: undefined, guards, changes };
+    return { table, tasks, recordKeys, final: undefined, conditions, changes };
   }
 
   async #write(parts: Part[]): Promise<boolean> {
-    const guards = [this.shard.leaseGuard(), ...parts.flatMap((p) => p.guards)];
-    const result = await this.deps.store.txn(
-      guards,
+    const conditions = [this.shard.leaseCondition(), ...parts.flatMap((p) => p.conditions)];
+    const result = await this.deps.store.compareAndSwap(
+      conditions,
       parts.flatMap((p) => p.changes),
     );
     if (!result.ok) {
@@ -172,7 +172,7 @@
       if (part.final) {
         this.deps.jobs.rememberFinal(id, part.final);
         this.deps.log.info({ job: id, tasks: part.table.job.tasks }, 'job done');
-        this.deps.announce({ key: KEY.job(id), version: result.revision, deleted: true });
+        this.deps.publish({ key: KEY.job(id), version: result.revision, deleted: true });
         this.shard.closeJob(id);
       } else {
         for (const key of part.recordKeys) part.table.recordVersions.set(key, result.revision);
--- a/src/coordination/shard/shard-owner.ts
+++ b/src/coordination/shard/shard-owner.ts
@@ -1,9 +1,9 @@
-import { Wake } from '../../base/clock';
+import { WakeSignal } from '../../base/clock';
 import { runLoop } from '../../base/loop';
 import { KEY, PREFIX, read } from '../../bookkeeping/records';
-import type { Order, Report } from '../../protocol/model';
+import type { WorkerCommand, WorkerHeartbeat } from '../../protocol/model';
 import type { JobProgress } from '../../protocol/peers';
-import type { Event, Guard } from '../../protocol/state';
+import type { ChangeEvent, Condition } from '../../protocol/state';
 import type { HandoverTrace } from '../../suspicion/handover-trace';
 import { Attempts } from './attempts';
 import { Shard, type ShardTenure } from './shard';
@@ -13,10 +13,11 @@
 import type { FleetInput, RentOption } from '../fleet/fleet';
 import { FleetManager } from '../fleet/fleet-manager';
 import type { Machine } from './machine';
-import { stopsOfEnded } from '../ownership/lease-relay';
+import { evictionsOfEndedJobs } from '../ownership/lease-relay';
+import { UNDECIDED, type OwnerResponse } from './owner-response';
 import { Recorder } from './recorder';
 import { Scheduler } from '../scheduling/scheduler';
-import { TokenRaiser } from '../ownership/token';
+import { FencingTokenRaiser } from '../ownership/token';
 import { UpRecords } from './up-records';
 
 const TICK_MS = 250;
@@ -27,11 +28,6 @@
 /** So many reports of a machine are answered though they don't show the token that the answers carry. */
 const MAX_UNPROVEN = 3;
 
-/** What an owner answers a report of its shard. */
-export type OwnAnswer = { kind: 'accepted'; token: number; orders: Order[] } | { kind: 'undecided' };
-
-const UNDECIDED: OwnAnswer = { kind: 'undecided' };
-
 /**
  * The owner of one shard. It holds what is wanted (jobs) and what is (machines and their attempts), and works out the
  * difference in rounds. It acts only while the session is valid.
@@ -41,11 +37,11 @@
   readonly #attempts: Attempts;
   readonly #commander: Commander;
   readonly #scheduler: Scheduler;
-  readonly #token: TokenRaiser;
+  readonly #fencingTokenRaiser: FencingTokenRaiser;
   readonly #upRecords: UpRecords;
   readonly #recorder: Recorder;
   readonly #fleet: FleetManager;
-  readonly #wake: Wake;
+  readonly #wake: WakeSignal;
   readonly #stop = new AbortController();
   #handover: HandoverTrace | undefined;
   #housekeptAt = -Infinity;
@@ -55,7 +51,7 @@
     tenure: ShardTenure,
     private readonly deps: NodeContext,
   ) {
-    this.#wake = new Wake(deps.clock);
+    this.#wake = new WakeSignal(deps.clock);
     const wake = (): void => {
       this.#wake.wake();
     };
@@ -64,8 +60,8 @@
       this.#shard,
       () => this.#attempts,
       deps,
-      (machine, report) => {
-        this.#absorb(machine, report);
+      (machine, heartbeat) => {
+        this.#reconcile(machine, heartbeat);
       },
     );
     this.#attempts = new Attempts(
@@ -80,13 +76,13 @@
       },
     );
     this.#scheduler = new Scheduler(this.#shard, this.#attempts, deps);
-    this.#token = new TokenRaiser(this.#shard, deps);
+    this.#fencingTokenRaiser = new FencingTokenRaiser(this.#shard, deps);
     this.#upRecords = new UpRecords(this.#shard, deps);
     this.#recorder = new Recorder(this, deps);
     this.#fleet = new FleetManager(this, deps);
     const { tables, machines } = this.#shard;
     deps.log.info(
-      { shard: tenure.number, token: tenure.token, jobs: tables.size, machines: machines.size },
+      { shard: tenure.number, token: tenure.fencingToken, jobs: tables.size, machines: machines.size },
       'shard taken over',
     );
   }
@@ -100,7 +96,7 @@
       void runLoop(`${name} of shard ${this.shard}`, step, { clock, log, signal });
     };
     loop('rounds', () => this.#step(signal));
-    loop('token', () => this.#token.step(signal));
+    loop('token', () => this.#fencingTokenRaiser.step(signal));
     loop('ends of leases', async () => {
       await this.deps.clock.sleep(TICK_MS, signal);
       if (this.entitled) await this.#scheduler.expire();
@@ -118,7 +114,7 @@
     this.#shard.stopped = true;
     this.#stop.abort();
     this.#handover?.abandon();
-    this.deps.log.info({ shard: this.shard, token: this.#shard.token, why }, 'shard given up');
+    this.deps.log.info({ shard: this.shard, token: this.#shard.fencingToken, why }, 'shard given up');
   }
 
   get shard(): number {
@@ -156,13 +152,13 @@
     return this.#shard.entitled;
   }
 
-  leaseGuard(): Guard {
-    return this.#shard.leaseGuard();
+  leaseCondition(): Condition {
+    return this.#shard.leaseCondition();
   }
 
   // What the state service tells us.
 
-  onChange(event: Event): void {
+  onChange(event: ChangeEvent): void {
     const { key } = event;
     if (key.startsWith(PREFIX.job)) {
       if (event.deleted) this.closeJob(key.slice(PREFIX.job.length));
@@ -179,11 +175,11 @@
     }
   }
 
-  #onLease(event: Event): void {
+  #onLease(event: ChangeEvent): void {
     const lease = event.deleted ? undefined : read.lease(event.value);
     // Our own raise of the token may come back here before its answer does, or instead of it.
-    if (lease?.owner === this.deps.node && lease.token >= this.#shard.token) {
-      this.#shard.token = lease.token;
+    if (lease?.owner === this.deps.node && lease.token >= this.#shard.fencingToken) {
+      this.#shard.fencingToken = lease.token;
       this.#shard.leaseVersion = event.version;
     } else if (event.version > this.#shard.leaseVersion) {
       this.stop('its lease is gone');
@@ -213,41 +209,41 @@
   // What workers tell us.
 
   /** Takes a report. Undecided: we are not entitled to answer. */
-  report(report: Report): OwnAnswer | Promise<OwnAnswer> {
-    const machine = this.machines.get(report.machine);
-    if (!machine && this.entitled && this.#fleet.isUnrecorded(report.machine)) {
-      return this.#recordRental(report);
+  onHeartbeat(heartbeat: WorkerHeartbeat): OwnerResponse | Promise<OwnerResponse> {
+    const machine = this.machines.get(heartbeat.machine);
+    if (!machine && this.entitled && this.#fleet.isUnrecorded(heartbeat.machine)) {
+      return this.#recordRental(heartbeat);
     }
     // A report of a machine that the cloud has ended is a late copy: it brings nothing back.
     if (!machine || machine.gone || !this.entitled) return UNDECIDED;
-    if (machine.up) return this.#take(machine, report);
+    if (machine.up) return this.#answerHeartbeat(machine, heartbeat);
     machine.hasReported = true;
     return this.#upRecords
-      .record(machine, report.address)
-      .then((recorded) => (recorded ? this.#take(machine, report) : UNDECIDED));
+      .record(machine, heartbeat.address)
+      .then((recorded) => (recorded ? this.#answerHeartbeat(machine, heartbeat) : UNDECIDED));
   }
 
   /** The first report of a machine whose rental is not recorded yet. */
-  async #recordRental(report: Report): Promise<OwnAnswer> {
-    const { machine: id, address } = report;
+  async #recordRental(heartbeat: WorkerHeartbeat): Promise<OwnerResponse> {
+    const { machine: id, address } = heartbeat;
     const record = this.#fleet.beginRecording(id);
     if (!record) return UNDECIDED;
     const outcome = await this.#upRecords.recordRental(id, address, record);
     this.#fleet.endRecording(id, outcome);
     const machine = this.machines.get(id);
-    return machine && outcome === 'recorded' ? this.#take(machine, report) : UNDECIDED;
+    return machine && outcome === 'recorded' ? this.#answerHeartbeat(machine, heartbeat) : UNDECIDED;
   }
 
-  #take(machine: Machine, report: Report): OwnAnswer {
+  #answerHeartbeat(machine: Machine, heartbeat: WorkerHeartbeat): OwnerResponse {
     if (!this.entitled || machine.gone || this.machines.get(machine.id) !== machine) return UNDECIDED;
     const now = this.deps.clock.now();
     // One that we have taken for dead without ever having heard it proves its messages new like any other: else a report
     // that was held up would bring back what died with its session.
-    const hasMet = machine.settled && (machine.session > 0 || machine.wasNeverAnswered);
-    if (!hasMet && report.token < this.#shard.token) {
+    const hasMet = machine.settled && (machine.incarnation > 0 || machine.wasNeverAnswered);
+    if (!hasMet && heartbeat.fencingToken < this.#shard.fencingToken) {
       // It may be a copy from before we took the shard, held up for long: only our token, or the answer to a question
       // of ours, proves a message new.
-      machine.sessionHint = report.session;
+      machine.unverifiedIncarnation = heartbeat.incarnation;
       if (!machine.settled) {
         machine.unproven += 1;
         // Answers don't reach it. Counted as answered again and again, its lease would never end for us.
@@ -256,29 +252,36 @@
       machine.answeredAt = now;
       // The answer renews the worker's lease, so it must end what was cancelled, perhaps a lease ago, before we took the
       // shard: a worker that hears this one answer and no other would keep it for another lease.
-      return { kind: 'accepted', token: this.#shard.token, orders: stopsOfEnded(report, this.deps.cache) };
+      return this.#accept(evictionsOfEndedJobs(heartbeat, this.deps.cache));
     }
-    const isNews = machine.isNews(report);
-    this.#absorb(machine, report);
+    const isNews = machine.isNewer(heartbeat);
+    this.#reconcile(machine, heartbeat);
     if (isNews) machine.renewedAt = now;
     if (this.#attempts.mayStartEnded(machine, now)) return UNDECIDED;
-    const orders = this.#commander.orders(machine, false);
+    const commands = this.#commander.commandsFor(machine, false);
     // Counted from now, which is later than when the worker sent the report: its own lease ends before ours of it.
     machine.answeredAt = now;
-    return { kind: 'accepted', token: this.#shard.token, orders };
+    return this.#accept(commands);
+  }
+
+  #accept(commands: WorkerCommand[]): OwnerResponse {
+    return { kind: 'accepted', fencingToken: this.#shard.fencingToken, commands };
   }
 
-  #absorb(machine: Machine, report: Report): void {
+  #reconcile(machine: Machine, heartbeat: WorkerHeartbeat): void {
     const { shard } = this;
     const now = this.deps.clock.now();
     const { missedMs, leaseMs } = this.#shard.timing;
     const silentBefore = machine.heardAt === undefined || now - machine.heardAt > missedMs;
-    const changes = machine.absorb(report, now, leaseMs, (job) => this.#attempts.describe(job));
-    const { token } = this.#shard;
-    if (report.token > token) {
-      this.deps.log.warn({ machine: machine.id, seen: report.token, token }, 'a worker saw a higher token');
+    const changes = machine.reconcile(heartbeat, now, leaseMs, (job) => this.#attempts.describe(job));
+    const { fencingToken } = this.#shard;
+    if (heartbeat.fencingToken > fencingToken) {
+      this.deps.log.warn(
+        { machine: machine.id, seen: heartbeat.fencingToken, token: fencingToken },
+        'a worker saw a higher token',
+      );
     }
-    if (!machine.settled && machine.tokenSeen >= token) {
+    if (!machine.settled && machine.fencingTokenSeen >= fencingToken) {
       this.#shard.settle(machine);
       this.deps.log.debug({ shard, machine: machine.id, attempts: machine.attempts.size }, 'machine settled');
       this.#wake.wake();
@@ -321,7 +324,7 @@
     if (goesOn) this.#wake.wake();
     const pauseMs = (this.deps.clock.now() - now) * (ROUND_PART - 1);
     if (pauseMs > EVENTS_GATHER_MS)
-      await this.deps.clock.sleep(Math.min(this.deps.settings.pace.roundPauseMs, pauseMs), signal);
+      await this.deps.clock.sleep(Math.min(this.deps.settings.throttling.roundPauseMs, pauseMs), signal);
   }
 
   /** After a round: how far the takeover is. */
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -1,6 +1,6 @@
 import { COMPLETION_PREFIXES, readCompletions } from '../../bookkeeping/completion-records';
 import { KEY, PREFIX, read, type MachineRecord } from '../../bookkeeping/records';
-import type { Guard } from '../../protocol/state';
+import type { Condition } from '../../protocol/state';
 import type { NodeContext } from '../node-context';
 import { DispatchTable } from './dispatch-table';
 import { Estimates } from './estimates';
@@ -22,8 +22,8 @@
   readonly number: number;
   readonly teams: readonly string[];
   /** The fencing token that was drawn with the lease. */
-  readonly token: number;
-  /** The version of the shard's lease, for the guards of transactions. */
+  readonly fencingToken: number;
+  /** The version of the shard's lease, for the conditions of transactions. */
   readonly leaseVersion: number;
   /** The revision at which it was acquired. */
   readonly takenRevision: number;
@@ -33,7 +33,7 @@
 export class Shard {
   readonly number: number;
   /** Rises when it is raised; see `TokenRaiser`. */
-  token: number;
+  fencingToken: number;
   leaseVersion: number;
   readonly takenRevision: number;
   readonly machines = new Map<string, Machine>();
@@ -63,7 +63,7 @@
     this.takenAt = deps.clock.now();
     const { teams } = tenure;
     this.number = tenure.number;
-    this.token = tenure.token;
+    this.fencingToken = tenure.fencingToken;
     this.leaseVersion = tenure.leaseVersion;
     this.takenRevision = tenure.takenRevision;
     const { operator, platform } = deps.settings;
@@ -90,7 +90,7 @@
     return !this.stopped && this.deps.session.valid;
   }
 
-  leaseGuard(): Guard {
+  leaseCondition(): Condition {
     return { key: KEY.lease(this.number), version: this.leaseVersion };
   }
 
@@ -279,8 +279,8 @@
   /** Whether the state service says that nobody relays, and our view holds all that was relayed before. */
   async nobodyKeeps(): Promise<boolean> {
     const { store, cache, clock } = this.deps;
-    const guards = this.#keepKeys.map((key) => ({ key, version: 0 }));
-    const result = await store.txn([this.leaseGuard(), ...guards], []);
+    const conditions = this.#keepKeys.map((key) => ({ key, version: 0 }));
+    const result = await store.compareAndSwap([this.leaseCondition(), ...conditions], []);
     while (result.ok && cache.revision < result.revision && this.entitled) await clock.sleep(20);
     return result.ok && this.entitled;
   }
--- a/src/coordination/shard/up-records.ts
+++ b/src/coordination/shard/up-records.ts
@@ -1,8 +1,8 @@
 /** @file Records that machines are up before their first reports are answered. */
-import { describe } from '../../base/loop';
+import { describeError } from '../../base/loop';
 import { changesAtOnce } from '../../base/state-limits';
 import { KEY, type MachineRecord } from '../../bookkeeping/records';
-import type { Guard } from '../../protocol/state';
+import type { Condition } from '../../protocol/state';
 import type { Shard } from './shard';
 import type { NodeContext } from '../node-context';
 import type { Machine } from './machine';
@@ -28,7 +28,7 @@
 /** One record of a transaction. */
 interface RecordWrite {
   readonly pending: PendingRecord;
-  readonly guard: Guard;
+  readonly condition: Condition;
   readonly value: MachineRecord;
 }
 
@@ -102,13 +102,13 @@
           break;
         }
         // One that changed meanwhile holds up no other.
-        const conflicts = open.filter(({ guard }) => failed.includes(guard.key));
+        const conflicts = open.filter(({ condition }) => failed.includes(condition.key));
         for (const { pending } of conflicts) outcomes.set(pending, 'conflict');
         if (conflicts.length === 0) break;
         open = open.filter((write) => !conflicts.includes(write));
       }
     } catch (error) {
-      this.deps.log.info({ err: describe(error) }, 'machines could not be recorded as up');
+      this.deps.log.info({ err: describeError(error) }, 'machines could not be recorded as up');
     }
     return outcomes;
   }
@@ -119,27 +119,27 @@
     const version = this.deps.cache.version(key);
     const isRental = subject.kind === 'rental';
     // A rental that has a record meanwhile is known to the shard; a known machine without one was returned while it
-    // waited, and a guard on its absence would bring it back, as up.
+    // waited, and a condition on its absence would bring it back, as up.
     if (isRental ? version > 0 : version === 0) return undefined;
     const record = isRental ? subject.record : subject.machine.record;
-    return { pending, guard: { key, version }, value: { ...record, address, up: true } };
+    return { pending, condition: { key, version }, value: { ...record, address, up: true } };
   }
 
-  /** One transaction. Undefined: it was carried out; otherwise the keys whose guards failed. */
+  /** One transaction. Undefined: it was carried out; otherwise the keys whose conditions failed. */
   async #writeTogether(writes: readonly RecordWrite[]): Promise<string[] | undefined> {
-    const result = await this.deps.store.txn(
-      [this.shard.leaseGuard(), ...writes.map(({ guard }) => guard)],
-      writes.map(({ guard, value }) => ({ put: guard.key, value })),
+    const result = await this.deps.store.compareAndSwap(
+      [this.shard.leaseCondition(), ...writes.map(({ condition }) => condition)],
+      writes.map(({ condition, value }) => ({ put: condition.key, value })),
     );
     if (!result.ok) return result.failed;
     for (const write of writes) this.#recorded(write, result.revision);
     return undefined;
   }
 
-  #recorded({ pending, guard, value }: RecordWrite, version: number): void {
+  #recorded({ pending, condition, value }: RecordWrite, version: number): void {
     const { subject, id } = pending;
     if (subject.kind === 'rental') {
-      this.deps.announce({ key: guard.key, version, value, deleted: false });
+      this.deps.publish({ key: condition.key, version, value, deleted: false });
     }
     const machine = subject.kind === 'rental' ? this.shard.machines.get(id) : subject.machine;
     if (!machine) return;
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,5 +1,5 @@
 import * as z from 'zod';
-import { NoAnswer, type HttpCaller } from '../transport/http-client';
+import { NoResponseError, type HttpCaller } from '../transport/http-client';
 import type { RateLimit } from '../transport/rate-limit';
 import type { ListedMachine, MachineType } from './model';
 
@@ -38,13 +38,13 @@
 });
 
 /** Machines in one page of the list. */
-export const LIST_LIMIT = 500;
-export const MAX_RELEASE = 100;
-export const MAX_RENT = 50;
+export const MACHINES_PER_PAGE = 500;
+export const MAX_MACHINES_PER_DELETE = 100;
+export const MAX_MACHINES_PER_CREATE = 50;
 
-export interface RentRequest {
+export interface CreateMachinesRequest {
   /** The name makes a repeat harmless; it is never used for another request. */
-  name: string;
+  idempotencyKey: string;
   type: string;
   zone: string;
   spot: boolean;
@@ -52,8 +52,8 @@
 }
 
 /** The cloud said no (429, 503): the request was not carried out. */
-export class CloudRefused extends Error {
-  override name = 'CloudRefused';
+export class CloudRejectedError extends Error {
+  override name = 'CloudRejectedError';
   constructor(
     message: string,
     readonly noCapacity: boolean,
@@ -63,8 +63,8 @@
 }
 
 /** The caller's right to act ended while its request waited for a turn inside the rate; nothing was sent. */
-export class RightEnded extends Error {
-  override name = 'RightEnded';
+export class AuthorityLostError extends Error {
+  override name = 'AuthorityLostError';
 }
 
 /** One request to the cloud. */
@@ -86,7 +86,7 @@
     private readonly timeoutMs: number,
   ) {}
 
-  async types(): Promise<MachineType[]> {
+  async listMachineTypes(): Promise<MachineType[]> {
     const { frames } = await this.#call({ method: 'GET', path: '/flavors', schema: flavors });
     return frames.map((f) => ({
       name: f.label,
@@ -102,24 +102,24 @@
     }));
   }
 
-  /** Rents machines; `mayAct` is asked right before the request leaves. Throws `RightEnded` when it says no. */
-  async rent(r: RentRequest, mayAct: () => boolean): Promise<string[]> {
-    const body = { booking: r.name, frame: r.type, yard: r.zone, loaners: r.spot, number: r.count };
+  /** Rents machines; `mayAct` is asked right before the request leaves. Throws `AuthorityLostError` when it says no. */
+  async createMachines(r: CreateMachinesRequest, mayAct: () => boolean): Promise<string[]> {
+    const body = { booking: r.idempotencyKey, frame: r.type, yard: r.zone, loaners: r.spot, number: r.count };
     return (await this.#call({ method: 'POST', path: '/hosts', body, schema: rented, mayAct })).hearths;
   }
 
   /** When this resolves, the machines and all that was on them are gone. `mayAct` as for `rent`. */
-  async release(ids: readonly string[], mayAct: () => boolean): Promise<void> {
+  async deleteMachines(ids: readonly string[], mayAct: () => boolean): Promise<void> {
     const body = { hearths: ids };
     await this.#call({ method: 'POST', path: '/hosts/release', body, schema: z.unknown(), mayAct });
   }
 
-  async list(): Promise<ListedMachine[]> {
+  async listMachines(): Promise<ListedMachine[]> {
     const machines: ListedMachine[] = [];
     let after = '';
     for (;;) {
       const since = after === '' ? '' : `since=${encodeURIComponent(after)}&`;
-      const path = `/hosts?${since}limit=${LIST_LIMIT}`;
+      const path = `/hosts?${since}limit=${MACHINES_PER_PAGE}`;
       const page = await this.#call({ method: 'GET', path, schema: list });
       for (const m of page.hearths) {
         machines.push({
@@ -142,20 +142,20 @@
     const { method, path, body, schema, mayAct = () => true } = request;
     await this.rate.take();
     // The turn may have come after a stall: a release decided before it could end what a new owner has placed since.
-    if (!mayAct()) throw new RightEnded(`cloud ${path}: the right to act has ended`);
+    if (!mayAct()) throw new AuthorityLostError(`cloud ${path}: the right to act has ended`);
     const answer = await this.http.call(this.address, method, path, body, this.timeoutMs, mayAct);
     if (answer.status === 200) {
       const parsed = schema.safeParse(answer.body);
       if (parsed.success) return parsed.data;
-      throw new NoAnswer(`cloud ${path}: malformed answer`, true);
+      throw new NoResponseError(`cloud ${path}: malformed answer`, true);
     }
     const error = (answer.body as { error?: unknown } | null)?.error;
     if (answer.status === 503 || answer.status === 429) {
-      throw new CloudRefused(
+      throw new CloudRejectedError(
         `cloud ${path}: ${answer.status} ${String(error ?? '')}`,
         error === 'no capacity',
       );
     }
-    throw new NoAnswer(`cloud ${path}: status ${answer.status}`, true);
+    throw new NoResponseError(`cloud ${path}: status ${answer.status}`, true);
   }
 }
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -10,13 +10,13 @@
   memoryGb: number;
 }
 
-export function addTo(room: Resources, needs: Resources): void {
+export function addResources(room: Resources, needs: Resources): void {
   room.cpus += needs.cpus;
   room.gpus += needs.gpus;
   room.memoryGb += needs.memoryGb;
 }
 
-export function takeFrom(room: Resources, needs: Resources): void {
+export function subtractResources(room: Resources, needs: Resources): void {
   room.cpus -= needs.cpus;
   room.gpus -= needs.gpus;
   room.memoryGb -= needs.memoryGb;
@@ -76,23 +76,23 @@
   attempt: number;
   phase: AttemptPhase;
   cause: ExitCause | null;
-  saved: boolean;
+  hasCheckpoint: boolean;
 }
 
-export interface Report {
+export interface WorkerHeartbeat {
   machine: string;
   address: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
+  incarnation: number;
   sequence: number;
-  token: number;
-  noticeS: number | null;
+  fencingToken: number;
+  spotNoticeS: number | null;
   attempts: ReportedAttempt[];
 }
 
-export type Order =
+export type WorkerCommand =
   | { op: 'start'; job: string; task: number; attempt: number }
   | { op: 'stop'; job: string; task: number; attempt: number; graceS: number }
   | { op: 'forget'; job: string; task: number; attempt: number };
--- a/src/protocol/state.ts
+++ b/src/protocol/state.ts
@@ -1,5 +1,10 @@
 import * as z from 'zod';
-import { AnswerTooLarge, NoAnswer, type Answer, type HttpCaller } from '../transport/http-client';
+import {
+  ResponseTooLargeError,
+  NoResponseError,
+  type HttpResponse,
+  type HttpCaller,
+} from '../transport/http-client';
 import type { RateLimit } from '../transport/rate-limit';
 
 export interface Entry {
@@ -9,7 +14,7 @@
   version: number;
 }
 
-export interface Guard {
+export interface Condition {
   key: string;
   /** 0: the key must not exist. */
   version: number;
@@ -17,36 +22,37 @@
 
 export type Change = { put: string; value: unknown; lease?: number } | { delete: string };
 
-export type TxnResult = { ok: true; revision: number } | { ok: false; failed: string[]; revision: number };
+export type CompareAndSwapResult =
+  { ok: true; revision: number } | { ok: false; failed: string[]; revision: number };
 
-export type Event = { key: string; version: number; value?: unknown; deleted: boolean };
+export type ChangeEvent = { key: string; version: number; value?: unknown; deleted: boolean };
 
 /** The state service, or our own limit, said no: nothing was executed. */
-export class StateRefused extends Error {
-  override name = 'StateRefused';
+export class StoreRejectedError extends Error {
+  override name = 'StoreRejectedError';
 }
 
 /** The lease that a change was to hang on has ended. */
-export class LeaseGone extends Error {
-  override name = 'LeaseGone';
+export class LeaseExpiredError extends Error {
+  override name = 'LeaseExpiredError';
 }
 
-export interface StateStore {
+export interface KeyValueStore {
   /** The last request failed: as far as this node can tell, the state service can't be reached. */
-  readonly troubled: boolean;
+  readonly isUnavailable: boolean;
   get(key: string): Promise<Entry | null>;
   list(prefix: string, after?: string): Promise<{ entries: Entry[]; more: boolean; revision: number }>;
-  txn(guards: Guard[], changes: Change[], urgent?: boolean): Promise<TxnResult>;
-  grant(ttlMs: number): Promise<number>;
+  compareAndSwap(guards: Condition[], watch: Change[], urgent?: boolean): Promise<CompareAndSwapResult>;
+  grantLease(ttlMs: number): Promise<number>;
   /** False when the lease has ended. */
-  extend(lease: number): Promise<boolean>;
-  revoke(lease: number): Promise<void>;
+  renewLease(lease: number): Promise<boolean>;
+  revokeLease(lease: number): Promise<void>;
   /** All changes since a revision, or undefined when they can't be told, as it is too old or they are too many. */
   changes(
     prefix: string,
     since: number,
     waitMs: number,
-  ): Promise<{ revision: number; events: Event[] } | undefined>;
+  ): Promise<{ revision: number; events: ChangeEvent[] } | undefined>;
 }
 
 const revision = z.int().min(0);
@@ -74,7 +80,7 @@
  * The state service over HTTP. Requests and changes each stay inside this node's part of the limits;
  * what is urgent (lease renewals, cancellations) goes ahead of the rest.
  */
-export class HttpStateStore implements StateStore {
+export class HttpKeyValueStore implements KeyValueStore {
   #troubled = false;
 
   constructor(
@@ -85,7 +91,7 @@
     private readonly timeoutMs: number,
   ) {}
 
-  get troubled(): boolean {
+  get isUnavailable(): boolean {
     return this.#troubled;
   }
 
@@ -113,7 +119,11 @@
     };
   }
 
-  async txn(guards: Guard[], changes: Change[], urgent = false): Promise<TxnResult> {
+  async compareAndSwap(
+    guards: Condition[],
+    changes: Change[],
+    urgent = false,
+  ): Promise<CompareAndSwapResult> {
     if (urgent) {
       this.requests.takeNow();
       this.writes.takeNow(changes.length);
@@ -135,17 +145,17 @@
       return { ok: false, failed: failed.failed, revision: failed.ledger };
     }
     if (answer.status === 400 && (answer.body as { error?: unknown } | null)?.error === 'no such lease') {
-      throw new LeaseGone('the lease of a change has ended');
+      throw new LeaseExpiredError('the lease of a change has ended');
     }
     return { ok: true, revision: this.#parse(answer, txnOk).ledger };
   }
 
-  async grant(ttlMs: number): Promise<number> {
+  async grantLease(ttlMs: number): Promise<number> {
     this.requests.takeNow();
     return this.#parse(await this.#call('POST', '/grants', { ttlMs }), grantSchema).hold;
   }
 
-  async extend(lease: number): Promise<boolean> {
+  async renewLease(lease: number): Promise<boolean> {
     this.requests.takeNow();
     const answer = await this.#call('POST', `/grants/${lease}/extend`, {});
     if (answer.status === 404) return false;
@@ -153,7 +163,7 @@
     return true;
   }
 
-  async revoke(lease: number): Promise<void> {
+  async revokeLease(lease: number): Promise<void> {
     this.requests.takeNow();
     const answer = await this.#call('DELETE', `/grants/${lease}`, undefined);
     if (answer.status !== 404) this.#parse(answer, z.unknown());
@@ -163,7 +173,7 @@
     prefix: string,
     since: number,
     waitMs: number,
-  ): Promise<{ revision: number; events: Event[] } | undefined> {
+  ): Promise<{ revision: number; events: ChangeEvent[] } | undefined> {
     this.requests.takeNow();
     const path = `/changes?prefix=${encodeURIComponent(prefix)}&since=${since}&holdMs=${waitMs}`;
     const answer = await this.#callForChanges(path, waitMs + this.timeoutMs);
@@ -183,30 +193,35 @@
    * Undefined: the answer, whose size nothing bounds, is larger than a node reads. Asked for once more it would only
    * have grown, and the node would never see another change.
    */
-  async #callForChanges(path: string, timeoutMs: number): Promise<Answer | undefined> {
+  async #callForChanges(path: string, timeoutMs: number): Promise<HttpResponse | undefined> {
     try {
       return await this.#call('GET', path, undefined, timeoutMs);
     } catch (error) {
-      if (error instanceof AnswerTooLarge) return undefined;
+      if (error instanceof ResponseTooLargeError) return undefined;
       throw error;
     }
   }
 
-  async #call(method: string, path: string, body: unknown, timeoutMs = this.timeoutMs): Promise<Answer> {
+  async #call(
+    method: string,
+    path: string,
+    body: unknown,
+    timeoutMs = this.timeoutMs,
+  ): Promise<HttpResponse> {
     try {
       const answer = await this.http.call(this.address, method, path, body, timeoutMs);
       this.#troubled = answer.status === 503;
       return answer;
     } catch (error) {
-      this.#troubled = !(error instanceof AnswerTooLarge);
+      this.#troubled = !(error instanceof ResponseTooLargeError);
       throw error;
     }
   }
 
   #parse<T>(answer: { status: number; body: unknown }, schema: z.ZodType<T>): T {
     if (answer.status === 503 || answer.status === 429)
-      throw new StateRefused(`state service: ${answer.status}`);
-    if (answer.status !== 200) throw new NoAnswer(`state service: status ${answer.status}`, true);
+      throw new StoreRejectedError(`state service: ${answer.status}`);
+    if (answer.status !== 200) throw new NoResponseError(`state service: status ${answer.status}`, true);
     return check(answer.body, schema);
   }
 }
@@ -214,6 +229,6 @@
 /** The body of an answer, whose status was looked at already. */
 function check<T>(body: unknown, schema: z.ZodType<T>): T {
   const parsed = schema.safeParse(body);
-  if (!parsed.success) throw new NoAnswer('state service: malformed answer', true);
+  if (!parsed.success) throw new NoResponseError('state service: malformed answer', true);
   return parsed.data;
 }
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -1,6 +1,6 @@
 import * as z from 'zod';
 import { decodeMap } from './codec';
-import type { AttemptPhase, ExitCause, Order, Report } from './model';
+import type { AttemptPhase, ExitCause, WorkerCommand, WorkerHeartbeat } from './model';
 
 const count = z.int().min(0);
 const PHASES: Record<string, AttemptPhase> = {
@@ -18,7 +18,7 @@
   unknown: 'unknown',
 };
 
-const report = z.object({
+const heartbeatSchema = z.object({
   hearth: z.string().min(1).max(150),
   endpoint: z.string().regex(/^[0-9.]+:[0-9]{1,5}$/),
   frame: z.string().min(1),
@@ -40,8 +40,8 @@
 });
 
 /** Reads a worker's report, whole or not at all: a malformed one must not touch any table. */
-export function parseReport(value: unknown): Report | undefined {
-  const parsed = report.safeParse(value);
+export function parseHeartbeat(value: unknown): WorkerHeartbeat | undefined {
+  const parsed = heartbeatSchema.safeParse(value);
   if (!parsed.success) return undefined;
   const r = parsed.data;
   return {
@@ -50,10 +50,10 @@
     type: r.frame,
     zone: r.yard,
     spot: r.loaners,
-    session: r.shift,
+    incarnation: r.shift,
     sequence: r.tally,
-    token: r.baton,
-    noticeS: r.warningS ?? null,
+    fencingToken: r.baton,
+    spotNoticeS: r.warningS ?? null,
     attempts: r.pieces.map((p) => {
       const slash = p.piece.lastIndexOf('/');
       const phase = PHASES[p.standing] ?? 'running';
@@ -64,20 +64,20 @@
         phase,
         // An exit whose cause we don't know is a failure like any other.
         cause: phase === 'exited' ? (CAUSES[p.cause ?? ''] ?? 'error') : null,
-        saved: p.stored ?? false,
+        hasCheckpoint: p.stored ?? false,
       };
     }),
   };
 }
 
-export function readReport(body: Uint8Array): Report | undefined {
+export function readHeartbeat(body: Uint8Array): WorkerHeartbeat | undefined {
   const map = decodeMap(body);
-  return map && parseReport(map);
+  return map && parseHeartbeat(map);
 }
 
 const VERBS = { start: 'run', stop: 'halt', forget: 'reap' } as const;
 
-export function writeOrders(orders: readonly Order[]): Record<string, unknown>[] {
+export function writeCommands(orders: readonly WorkerCommand[]): Record<string, unknown>[] {
   return orders.map((order) => ({
     verb: VERBS[order.op],
     piece: `${order.job}/${order.task}`,
@@ -86,18 +86,21 @@
   }));
 }
 
-export function writeReportAnswer(token: number, orders: readonly Order[]): Record<string, unknown> {
-  return { baton: token, orders: writeOrders(orders) };
+export function writeHeartbeatResponse(
+  token: number,
+  orders: readonly WorkerCommand[],
+): Record<string, unknown> {
+  return { baton: token, orders: writeCommands(orders) };
 }
 
 export function writeRedirect(owner: string | undefined): Record<string, unknown> {
   return owner === undefined ? {} : { foreman: owner };
 }
 
-export function writeCommand(
+export function writeCommandRequest(
   token: number,
   session: number,
-  orders: readonly Order[],
+  orders: readonly WorkerCommand[],
 ): Record<string, unknown> {
-  return { baton: token, shift: session, orders: writeOrders(orders) };
+  return { baton: token, shift: session, orders: writeCommands(orders) };
 }
--- a/src/suspicion/peer-liveness.ts
+++ b/src/suspicion/peer-liveness.ts
@@ -1,6 +1,6 @@
 /** @file Whether a peer is heard: the question that relays, redirects and handovers ask of the failure detector. */
 import type { Clock } from '../base/clock';
-import type { Progress } from '../protocol/peers';
+import type { PeerHeartbeat } from '../protocol/peers';
 
 /** Peers send a message about once a second: one that sent none for longer may be unreachable. */
 export const PEER_TIMEOUT_MS = 2_500;
@@ -8,7 +8,7 @@
 /** A failure detector as seen by whoever asks after one peer. */
 export interface PeerLiveness {
   /** A periodic message of the peer came. */
-  onProgress(progress: Progress): void;
+  onHeartbeat(heartbeat: PeerHeartbeat): void;
   /** Whether the peer has been silent for so long that it may be unreachable; also when it was never heard. */
   isSilent(node: string): boolean;
 }
@@ -19,7 +19,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  onProgress({ from }: Progress): void {
+  onHeartbeat({ from }: PeerHeartbeat): void {
     this.#heardAt.set(from, this.clock.now());
   }
 
--- a/src/suspicion/peer-reachability.ts
+++ b/src/suspicion/peer-reachability.ts
@@ -1,6 +1,6 @@
 /** @file Which peers, and which of their workers, this node takes for reachable. */
 import type { Clock } from '../base/clock';
-import type { Progress } from '../protocol/peers';
+import type { PeerHeartbeat } from '../protocol/peers';
 import type { PeerLiveness } from './peer-liveness';
 
 /** How long a peer's message, or a report that was redirected, counts. */
@@ -16,7 +16,7 @@
  * it: their leases would run out.
  */
 export class PeerReachability {
-  readonly #peers = new Map<string, Progress>();
+  readonly #peers = new Map<string, PeerHeartbeat>();
   readonly #redirected = new Map<string, { shard: number; at: number }>();
   #heardAt = -Infinity;
   #freshPeerAt = -Infinity;
@@ -33,12 +33,12 @@
   }
 
   /** Takes in a peer's periodic message. */
-  onProgress(progress: Progress): void {
+  onHeartbeat(heartbeat: PeerHeartbeat): void {
     const now = this.clock.now();
     this.#heardAt = now;
-    if (progress.fresh) this.#freshPeerAt = now;
-    this.#peers.set(progress.from, progress);
-    this.liveness.onProgress(progress);
+    if (heartbeat.isViewFresh) this.#freshPeerAt = now;
+    this.#peers.set(heartbeat.from, heartbeat);
+    this.liveness.onHeartbeat(heartbeat);
   }
 
   /** Steady time of the latest periodic message of any peer. */
@@ -64,9 +64,9 @@
 
   /** Whether a worker may be redirected to the owner of its shard. */
   reaches(owner: string, shard: number): boolean {
-    const progress = this.#peers.get(owner);
-    if (!progress || this.liveness.isSilent(owner)) return false;
-    return !progress.unheard.includes(shard);
+    const heartbeat = this.#peers.get(owner);
+    if (!heartbeat || this.liveness.isSilent(owner)) return false;
+    return !heartbeat.unreachableShards.includes(shard);
   }
 
   /**
@@ -77,9 +77,9 @@
     if (!areMostUnreachable(machines, unreachable)) return undefined;
     let best: { node: string; heard: number } | undefined;
     let heard = 0;
-    for (const [node, progress] of this.#peers) {
-      if (this.liveness.isSilent(node) || !progress.fresh) continue;
-      const here = progress.turnedAway.find((t) => t.shard === shard)?.machines ?? 0;
+    for (const [node, heartbeat] of this.#peers) {
+      if (this.liveness.isSilent(node) || !heartbeat.isViewFresh) continue;
+      const here = heartbeat.redirected.find((t) => t.shard === shard)?.machines ?? 0;
       heard += here;
       if (here > (best?.heard ?? 0)) best = { node, heard: here };
     }
--- a/src/suspicion/suspicion.ts
+++ b/src/suspicion/suspicion.ts
@@ -4,8 +4,8 @@
 import { KEY, PREFIX, read } from '../bookkeeping/records';
 import type { WatchCache } from '../bookkeeping/watch-cache';
 import type { PeerView } from '../protocol/peer-view';
-import type { Progress } from '../protocol/peers';
-import type { Event } from '../protocol/state';
+import type { PeerHeartbeat } from '../protocol/peers';
+import type { ChangeEvent } from '../protocol/state';
 import { isStalled, isSuspectedByMost, whyGiveUp, type GiveUpReason } from './give-up';
 import { MoveLimiter } from './move-limiter';
 import type { SuspicionOptions } from './options';
@@ -79,7 +79,7 @@
   }
 
   /** Whether a peer's message is to be taken in. Drops, counts and logs once what can't be right. */
-  accepts({ from, view, isViewMalformed = false }: Progress): boolean {
+  accepts({ from, view, isViewMalformed = false }: PeerHeartbeat): boolean {
     const reason = this.#whyRejected(from, view, isViewMalformed);
     if (reason !== undefined) this.#rejected.add(reason, from);
     return reason === undefined;
@@ -104,9 +104,9 @@
   }
 
   /** Takes in a periodic message that was accepted. */
-  onProgress({ from, fresh, view }: Progress): void {
+  onHeartbeat({ from, isViewFresh, view }: PeerHeartbeat): void {
     this.#detector.onHeartbeat(from, view, this.context.clock.now());
-    if (fresh) this.#fresh.add(from);
+    if (isViewFresh) this.#fresh.add(from);
     else this.#fresh.delete(from);
     for (const opinion of view?.opinions ?? []) {
       const isAboutThis = opinion.node === this.context.node && opinion.run >= this.#run;
@@ -225,7 +225,7 @@
     return cache.get(KEY.node(peer)) === undefined ? 'ended' : 'exists';
   }
 
-  #onRecord({ key, ...event }: Event): void {
+  #onRecord({ key, ...event }: ChangeEvent): void {
     if (event.deleted || !key.startsWith(PREFIX.shard)) return;
     const record = read.shard(event.value);
     const shard = Number(key.slice(PREFIX.shard.length));
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -1,25 +1,25 @@
 import { Agent, request, type ClientRequest } from 'node:http';
 import type { Duplex } from 'node:stream';
 
-export interface Answer {
+export interface HttpResponse {
   status: number;
   body: unknown;
 }
 
-/** No usable answer came. `maybeExecuted` is false only when not a byte of the request can have left. */
-export class NoAnswer extends Error {
-  override name = 'NoAnswer';
+/** No usable answer came. `mayHaveExecuted` is false only when not a byte of the request can have left. */
+export class NoResponseError extends Error {
+  override name = 'NoResponseError';
   constructor(
     message: string,
-    readonly maybeExecuted: boolean,
+    readonly mayHaveExecuted: boolean,
   ) {
     super(message);
   }
 }
 
 /** The answer exceeds what this client reads. Another attempt would bring the same answer. */
-export class AnswerTooLarge extends NoAnswer {
-  override name = 'AnswerTooLarge';
+export class ResponseTooLargeError extends NoResponseError {
+  override name = 'ResponseTooLargeError';
 }
 
 export interface Codec {
@@ -27,10 +27,10 @@
   decode(bytes: Uint8Array): unknown;
 }
 
-/** Sends one request and waits for its answer. Throws `NoAnswer` when none that can be used comes in time. */
+/** Sends one request and waits for its answer. Throws `NoResponseError` when none that can be used comes in time. */
 export interface HttpCaller {
   /**
-   * `mayLeave` is asked when the connection is there, right before the first byte is written: a process may stand still
+   * `maySend` is asked when the connection is there, right before the first byte is written: a process may stand still
    * while it waits for a connection, and what it was entitled to send before may be another's to decide by then.
    */
   call(
@@ -39,8 +39,8 @@
     path: string,
     body: unknown,
     timeoutMs: number,
-    mayLeave?: () => boolean,
-  ): Promise<Answer>;
+    maySend?: () => boolean,
+  ): Promise<HttpResponse>;
 }
 
 /** Keeps so many idle connections and no more, the last used: a fleet's, one a machine, could use up all sockets. */
@@ -117,8 +117,8 @@
     path: string,
     body: unknown,
     timeoutMs: number,
-    mayLeave: () => boolean = () => true,
-  ): Promise<Answer> {
+    maySend: () => boolean = () => true,
+  ): Promise<HttpResponse> {
     return new Promise((resolve, reject) => {
       const [host, port] = target.split(':');
       const bytes = body === undefined ? undefined : this.codec.encode(body);
@@ -131,7 +131,7 @@
         path,
         headers: bytes ? { 'content-type': 'application/msgpack', 'content-length': bytes.length } : {},
       });
-      const fail = (message: string, Failure = NoAnswer): void => {
+      const fail = (message: string, Failure = NoResponseError): void => {
         settled = true;
         clearTimeout(timer);
         reject(new Failure(`${method} ${target}${path}: ${message}`, connected));
@@ -147,7 +147,7 @@
       }, timeoutMs);
       const leave = (): void => {
         // Node writes the request only after its listeners for this event have run.
-        if (!mayLeave()) fail('the right to send it has ended');
+        if (!maySend()) fail('the right to send it has ended');
         else connected = true;
       };
       req.on('socket', (socket) => {
@@ -162,7 +162,7 @@
         let size = 0;
         response.on('data', (part: Buffer) => {
           size += part.length;
-          if (size > this.maxAnswerBytes) fail('the answer is too large', AnswerTooLarge);
+          if (size > this.maxAnswerBytes) fail('the answer is too large', ResponseTooLargeError);
           else parts.push(part);
         });
         response.on('error', (error) => {
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -1,7 +1,7 @@
 /** @file Framed one-way links between controllers. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import type { Clock } from '../base/clock';
-import { describe, runLoop } from '../base/loop';
+import { describeError, runLoop } from '../base/loop';
 import type { Log } from '../base/log';
 
 /** Reads frames: a length of four bytes, then that many bytes. Throws when a frame is longer than allowed. */
@@ -47,7 +47,7 @@
       try {
         for await (const bytes of readFrames(socket, MAX_FRAME_BYTES)) onFrame(bytes);
       } catch (error) {
-        log.debug({ err: describe(error) }, 'a peer connection ended');
+        log.debug({ err: describeError(error) }, 'a peer connection ended');
       } finally {
         socket.destroy();
       }
@@ -55,7 +55,7 @@
   });
   const [host, port] = address.split(':');
   server.on('error', (error) => {
-    log.error({ err: describe(error), address }, 'the peer port cannot be opened');
+    log.error({ err: describeError(error), address }, 'the peer port cannot be opened');
   });
   server.listen(Number(port), host);
   return server;
@@ -103,7 +103,7 @@
         socket.resume();
       });
     } catch (error) {
-      this.deps.log.debug({ peer: this.address, err: describe(error) }, 'no link to a peer');
+      this.deps.log.debug({ peer: this.address, err: describeError(error) }, 'no link to a peer');
     } finally {
       this.#socket = undefined;
       socket.destroy();
--- a/test/dependencies-cancel.test.ts
+++ b/test/dependencies-cancel.test.ts
@@ -185,7 +185,7 @@
     const { owner } = world;
     const ownerName = `node-${owner}`;
     await world.clock.advance(5_000);
-    world.lostPeerMessages.add('nudge');
+    world.lostPeerMessages.add('change notification');
     const watches = world.network.rule(({ from, path }) =>
       path.startsWith('/changes') && from !== ownerName ? 'lose' : undefined,
     );
--- a/test/edges.test.ts
+++ b/test/edges.test.ts
@@ -5,7 +5,7 @@
 import { makeSettings, SettingsError } from '../src/base/settings';
 import { codec } from '../src/protocol/codec';
 import { readPeerMessage, writePeerMessage, type PeerMessage } from '../src/protocol/peers';
-import { HttpClient, NoAnswer } from '../src/transport/http-client';
+import { HttpClient, NoResponseError } from '../src/transport/http-client';
 import { createServer as createUserServer } from '../src/transport/http-server';
 import { frame, readFrames } from '../src/transport/peer-link';
 
@@ -50,8 +50,8 @@
     try {
       await client.call(`127.0.0.1:${to}`, 'GET', path, undefined, 200);
     } catch (error) {
-      assert.ok(error instanceof NoAnswer);
-      return error.maybeExecuted;
+      assert.ok(error instanceof NoResponseError);
+      return error.mayHaveExecuted;
     }
     assert.fail(`${path} was answered`);
   };
@@ -65,19 +65,22 @@
 
 test('frames come out whole however they are cut, and a length that no frame has ends the link', async () => {
   const messages: PeerMessage[] = [
-    { kind: 'nudge', event: { key: 'live/job/req-1', version: 7, deleted: false, value: { a: [1, 'x'] } } },
-    { kind: 'nudge', event: { key: 'live/job/req-1', version: 2 ** 40, deleted: true } },
     {
-      kind: 'progress',
-      progress: {
-        ...{ from: 'node-2', fresh: true, jobs: [{ id: 'req-1', running: 3, done: 4 }] },
-        ...{ unheard: [3], turnedAway: [{ shard: 0, machines: 12 }] },
+      kind: 'change notification',
+      event: { key: 'live/job/req-1', version: 7, deleted: false, value: { a: [1, 'x'] } },
+    },
+    { kind: 'change notification', event: { key: 'live/job/req-1', version: 2 ** 40, deleted: true } },
+    {
+      kind: 'heartbeat',
+      heartbeat: {
+        ...{ from: 'node-2', isViewFresh: true, jobs: [{ id: 'req-1', running: 3, done: 4 }] },
+        ...{ unreachableShards: [3], redirected: [{ shard: 0, machines: 12 }] },
       },
     },
-    { kind: 'ask', ask: { from: 'node-0', number: 5, revision: 2 ** 33 } },
+    { kind: 'lease extension request', request: { from: 'node-0', number: 5, revision: 2 ** 33 } },
     {
-      kind: 'promise',
-      promise: { from: 'node-1', to: 'node-0', number: 5, ended: [{ id: 'req-1', version: 9 }] },
+      kind: 'lease extension grant',
+      grant: { from: 'node-1', to: 'node-0', number: 5, endedJobs: [{ id: 'req-1', version: 9 }] },
     },
   ];
   const bytes = Buffer.concat(messages.map((m) => frame(writePeerMessage(m))));
--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -1,5 +1,5 @@
 /** @file The cloud in memory: it offers one machine type, and rents, lists and releases machines. */
-import type { Answer } from '../../src/transport/http-client';
+import type { HttpResponse } from '../../src/transport/http-client';
 import type { Request } from './network';
 import type { MachineFacts } from './rules';
 import type { FakeWorker } from './worker';
@@ -28,7 +28,7 @@
 
   constructor(private readonly fleet: Fleet) {}
 
-  handle({ method, path, body }: Request): Answer {
+  handle({ method, path, body }: Request): HttpResponse {
     if (this.garbage) return { status: 200, body: { hearths: 'many', frames: 7 } };
     if (path === '/flavors') {
       const frame = { ...TYPE, cacheGb: 50, fetchGbPerS: 1, rate: 1, spotPrice: 0.3, bootS: 10 };
@@ -44,7 +44,7 @@
   }
 
   /** A page of the machines, in the order of their names. */
-  #list(query: URLSearchParams): Answer {
+  #list(query: URLSearchParams): HttpResponse {
     const since = query.get('since') ?? '';
     const limit = Math.min(MAX_PAGE, Number(query.get('limit') ?? MAX_PAGE));
     const listed = [...this.fleet.workers.values()].filter((w) => !w.gone && w.id > since);
@@ -55,7 +55,7 @@
     return { status: 200, body: { hearths, hasNext: listed.length > limit } };
   }
 
-  #rent(r: { booking: string; yard: string; loaners: boolean; number: number }): Answer {
+  #rent(r: { booking: string; yard: string; loaners: boolean; number: number }): HttpResponse {
     const known = this.bookings.get(r.booking);
     if (known) return { status: 200, body: { hearths: known } };
     const count = Math.min(r.number, this.capacity);
--- a/test/fakes/controller-parts.ts
+++ b/test/fakes/controller-parts.ts
@@ -1,8 +1,5 @@
-/**
- * What a controller is made of. This file is bundled twice: with the present sources, and, copied beside them, with those
- * of the production version (test/production/bundle.ts).
- */
+/** @file What a controller is made of; test/production/bundle.ts has the same of the production version. */
 export { makeSettings } from '../../src/base/settings';
 export { Node } from '../../src/coordination/node';
 export { createRoutes } from '../../src/coordination/routes';
-export { NoAnswer } from '../../src/transport/http-client';
+export { NoResponseError } from '../../src/transport/http-client';
--- a/test/fakes/network.ts
+++ b/test/fakes/network.ts
@@ -1,4 +1,4 @@
-import { NoAnswer, type Answer, type HttpCaller } from '../../src/transport/http-client';
+import { NoResponseError, type HttpResponse, type HttpCaller } from '../../src/transport/http-client';
 import type { FakeClock } from './clock';
 
 export interface Request {
@@ -17,7 +17,7 @@
 /** A message that crosses the network; the number of a request is that of its answer. */
 export type Message =
   | { kind: 'request'; number: number; request: Request }
-  | { kind: 'answer'; number: number; answer: Answer }
+  | { kind: 'answer'; number: number; answer: HttpResponse }
   | { kind: 'peer message sent'; from: string; bytes: Uint8Array }
   | { kind: 'peer message received'; from: string; to: string; bytes: Uint8Array };
 /**
@@ -25,7 +25,7 @@
  * answers and peer messages when they arrive.
  */
 export type Observer = (message: Message, at: number) => void;
-export type Host = (request: Request) => Answer | Promise<Answer>;
+export type Host = (request: Request) => HttpResponse | Promise<HttpResponse>;
 
 /** What a worker's stand-in needs of a network: this one, or the loopback under load. */
 export interface WorldNetwork {
@@ -43,7 +43,7 @@
   #held: (() => void)[] = [];
   #observer: Observer | undefined;
   #requests = 0;
-  #watch: ((request: Request) => (answer: Answer) => void) | undefined;
+  #watch: ((request: Request) => (answer: HttpResponse) => void) | undefined;
 
   constructor(private readonly clock: FakeClock) {}
 
@@ -64,7 +64,7 @@
   }
 
   /** Sees every request when it leaves, and its answer when its sender gets it. */
-  watch(watch: (request: Request) => (answer: Answer) => void): void {
+  watch(watch: (request: Request) => (answer: HttpResponse) => void): void {
     this.#watch = watch;
   }
 
@@ -92,7 +92,7 @@
     };
   }
 
-  #call(request: Request, timeoutMs: number): Promise<Answer> {
+  #call(request: Request, timeoutMs: number): Promise<HttpResponse> {
     return new Promise((resolve, reject) => {
       this.#requests += 1;
       const number = this.#requests;
@@ -103,7 +103,7 @@
       const host = this.#hosts.get(request.to);
       const timer = this.clock.after(timeoutMs, () => {
         over = true;
-        reject(new NoAnswer('time is up', host !== undefined && fate !== 'unreachable'));
+        reject(new NoResponseError('time is up', host !== undefined && fate !== 'unreachable'));
       });
       if (!host || fate === 'unreachable' || fate === 'lose') return;
       const deliver = (): void => {
--- a/test/fakes/patient-users.ts
+++ b/test/fakes/patient-users.ts
@@ -1,5 +1,5 @@
 /** @file Users who submit jobs as the protocol has it: they follow `Retry-After`, and give up after a minute. */
-import type { Answer } from '../../src/transport/http-client';
+import type { HttpResponse } from '../../src/transport/http-client';
 import { submission } from './submission';
 import type { World } from './world';
 
@@ -75,7 +75,7 @@
   }
 
   /** One submission at one controller. */
-  ask(index: number, body: unknown): Promise<Answer> {
+  ask(index: number, body: unknown): Promise<HttpResponse> {
     const address = this.world.controllers[index]?.address ?? '';
     return this.world.network.caller(USER).call(address, 'POST', '/work', body, TIMEOUT_MS);
   }
--- a/test/fakes/rules.ts
+++ b/test/fakes/rules.ts
@@ -1,5 +1,5 @@
 /** @file The rules of the protocol, checked from outside the controllers. */
-import type { Answer } from '../../src/transport/http-client';
+import type { HttpResponse } from '../../src/transport/http-client';
 import type { WorldClock } from './clock';
 import { DependencyRules } from './dependency-rules';
 import type { Request } from './network';
@@ -214,7 +214,7 @@
   // What users send and are told.
 
   /** A user's request leaves. What is returned is to be called with its answer, when that arrives. */
-  asked(request: Request): (answer: Answer) => void {
+  asked(request: Request): (answer: HttpResponse) => void {
     this.#order += 1;
     const sent: Sent = {
       what: `${request.method} ${request.path}`,
@@ -255,13 +255,13 @@
     this.#dependencies.add(id);
   }
 
-  #toldOfSubmission(id: string, { status }: Answer, why: string | undefined): void {
+  #toldOfSubmission(id: string, { status }: HttpResponse, why: string | undefined): void {
     const job = this.#job(id);
     const accepts = status === 200 || status === 201;
     if (accepts && why !== undefined && !job.described) this.break('bad_accepted', `${id}: ${why}`);
   }
 
-  #told(id: string, { status, body }: Answer, sent: Sent): void {
+  #told(id: string, { status, body }: HttpResponse, sent: Sent): void {
     const job = this.#job(id);
     const knownBefore = job.accepted !== undefined && job.accepted < sent.order;
     if (status === 404 || (!sent.mayBeRefused && (status === 400 || status === 422))) {
--- a/test/fakes/scripted-watch.ts
+++ b/test/fakes/scripted-watch.ts
@@ -1,11 +1,11 @@
 /** @file A watched copy of records whose changes a test scripts. */
 import { WatchCache } from '../../src/bookkeeping/watch-cache';
-import type { Event, StateStore } from '../../src/protocol/state';
+import type { ChangeEvent, KeyValueStore } from '../../src/protocol/state';
 import { FakeClock } from './clock';
 
 /** A state service that has what the test says, and a copy of it with no pause between watches. */
 export class ScriptedWatch {
-  events: Event[] = [];
+  events: ChangeEvent[] = [];
   revision = 0;
   readonly #clock = new FakeClock();
   readonly cache: WatchCache;
@@ -15,7 +15,7 @@
       list: () => Promise.resolve({ entries: [], more: false, revision: this.revision }),
       changes: () => Promise.resolve({ revision: this.revision, events: this.events }),
     };
-    this.cache = new WatchCache(store as unknown as StateStore, 'live/', this.#clock, 1000, 0);
+    this.cache = new WatchCache(store as unknown as KeyValueStore, 'live/', this.#clock, 1000, 0);
   }
 
   async step(): Promise<void> {
--- a/test/fakes/state-service.ts
+++ b/test/fakes/state-service.ts
@@ -1,4 +1,4 @@
-import type { Answer } from '../../src/transport/http-client';
+import type { HttpResponse } from '../../src/transport/http-client';
 import type { WorldClock } from './clock';
 import type { Request } from './network';
 
@@ -39,7 +39,7 @@
 
 const jsonBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
-const noAnswer = (): Promise<Answer> => new Promise(() => undefined);
+const noAnswer = (): Promise<HttpResponse> => new Promise(() => undefined);
 
 /** The state service by its published protocol, in memory. */
 export class FakeStateService {
@@ -84,7 +84,7 @@
     };
   }
 
-  async handle(request: Request): Promise<Answer> {
+  async handle(request: Request): Promise<HttpResponse> {
     const fate = this.#rules.map((rule) => rule(request)).find((f) => f !== undefined);
     if (fate === undefined) return this.#execute(request);
     if (fate === 'refuse') return { status: 503, body: null };
@@ -102,7 +102,7 @@
     return answer;
   }
 
-  async #execute({ from, method, path, body }: Request): Promise<Answer> {
+  async #execute({ from, method, path, body }: Request): Promise<HttpResponse> {
     if (this.refused.has('*') || this.refused.has(from)) return { status: 503, body: null };
     this.#expire();
     const url = new URL(path, 'http://state');
@@ -125,13 +125,13 @@
     for (const [path, stored] of [...this.data]) if (stored.hold === id) this.#change([{ delete: path }]);
   }
 
-  #get(path: string): Answer {
+  #get(path: string): HttpResponse {
     const stored = this.data.get(path);
     if (!stored) return { status: 404, body: { ledger: this.ledger } };
     return { status: 200, body: { path, ...stored } };
   }
 
-  #list(params: URLSearchParams): Answer {
+  #list(params: URLSearchParams): HttpResponse {
     const prefix = params.get('prefix') ?? '';
     const since = params.get('since') ?? '';
     const limit = Number(params.get('limit') ?? 1000);
@@ -183,7 +183,7 @@
     return true;
   }
 
-  #txn(from: string, { guards, apply }: Txn): Answer {
+  #txn(from: string, { guards, apply }: Txn): HttpResponse {
     const fault = this.#sizeFault({ guards, apply });
     if (fault !== undefined) {
       this.oversized.push(`${from}: ${fault}`);
@@ -207,7 +207,7 @@
     return { status: 200, body: { ledger: this.ledger } };
   }
 
-  async #changes(from: string, params: URLSearchParams): Promise<Answer> {
+  async #changes(from: string, params: URLSearchParams): Promise<HttpResponse> {
     const prefix = params.get('prefix') ?? '';
     const since = Number(params.get('since'));
     const until = this.clock.now() + Number(params.get('holdMs') ?? 0);
@@ -225,7 +225,7 @@
     }
   }
 
-  #grant(method: string, rest: string[], body: { ttlMs: number }): Answer {
+  #grant(method: string, rest: string[], body: { ttlMs: number }): HttpResponse {
     const id = Number(rest[0]);
     if (rest.length === 0) {
       const grant = this.#nextGrant;
--- a/test/fakes/versions.ts
+++ b/test/fakes/versions.ts
@@ -3,7 +3,7 @@
 import { resolve } from 'node:path';
 import type { Log } from '../../src/base/log';
 import type { Environment } from '../../src/coordination/environment';
-import { NoAnswer, type HttpCaller } from '../../src/transport/http-client';
+import { NoResponseError, type HttpCaller } from '../../src/transport/http-client';
 import type { Route } from '../../src/transport/http-server';
 import * as present from './controller-parts';
 
@@ -32,8 +32,8 @@
       try {
         return await caller.call(...request);
       } catch (error) {
-        if (!(error instanceof NoAnswer)) throw error;
-        throw new parts.NoAnswer(error.message, error.maybeExecuted);
+        if (!(error instanceof NoResponseError)) throw error;
+        throw new parts.NoResponseError(error.message, error.mayHaveExecuted);
       }
     },
   };
--- a/test/fakes/worker.ts
+++ b/test/fakes/worker.ts
@@ -1,4 +1,4 @@
-import { NoAnswer, type Answer } from '../../src/transport/http-client';
+import { NoResponseError, type HttpResponse } from '../../src/transport/http-client';
 import type { WorldClock } from './clock';
 import type { Request, WorldNetwork } from './network';
 
@@ -50,7 +50,7 @@
   isUp = false;
   gone = false;
   /** What it answers to commands and questions instead of executing them. */
-  garbage: (() => Answer) | undefined;
+  garbage: (() => HttpResponse) | undefined;
   #hanging = false;
   #hungAt = 0;
   /** How long it has stood still before the hang that lasts, if one does. */
@@ -175,7 +175,7 @@
           .call(node.address, 'POST', '/hello', this.report(), 4000);
         // What came during a hang is read when it goes on; a response that is too old by then is dropped.
         if (this.#hanging) await new Promise<void>((goOn) => this.#onResume.push(goOn));
-        if (clock.now() - sentAt > 4000) throw new NoAnswer('time is up', true);
+        if (clock.now() - sentAt > 4000) throw new NoResponseError('time is up', true);
         if (answer.status === 200) {
           const body = answer.body as Orders;
           if (body.baton !== undefined && body.baton >= this.baton && this.shift === shift) {
@@ -195,7 +195,7 @@
           }
         }
       } catch (error) {
-        if (!(error instanceof NoAnswer)) throw error;
+        if (!(error instanceof NoResponseError)) throw error;
         this.#node += 1;
       }
       await clock.sleep(pauseMs);
@@ -220,7 +220,7 @@
     }
   }
 
-  #handle(request: Request): Answer | Promise<Answer> {
+  #handle(request: Request): HttpResponse | Promise<HttpResponse> {
     if (this.garbage) return this.garbage();
     if (!this.#hanging) return this.#answer(request);
     return new Promise((resolve) => {
@@ -230,7 +230,7 @@
     });
   }
 
-  #answer({ path, body }: Request): Answer {
+  #answer({ path, body }: Request): HttpResponse {
     this.#checkLease();
     if (path === '/inspect') return { status: 200, body: this.report() };
     const { baton, shift, orders } = body as Orders;
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -1,6 +1,6 @@
 /** @file A whole deployment in memory with its users and machines, watched by the rules of the protocol. */
 import assert from 'node:assert/strict';
-import type { Answer } from '../../src/transport/http-client';
+import type { HttpResponse } from '../../src/transport/http-client';
 import { FakeCloud, TYPE } from './cloud';
 import { CANCEL_S, CLOUD, LEASE_S, nodesOf, REPORT_S, STATE, type WorldOptions } from './controller-settings';
 import { Deployment } from './deployment';
@@ -69,7 +69,7 @@
     this.cloud.capacity = machines;
   }
 
-  async ask(index: number, method: string, path: string, body?: unknown): Promise<Answer> {
+  async ask(index: number, method: string, path: string, body?: unknown): Promise<HttpResponse> {
     const answer = this.network
       .caller(USER)
       .call(this.controllers[index]?.address ?? '', method, path, body, 5000);
--- a/test/fixed-limits.test.ts
+++ b/test/fixed-limits.test.ts
@@ -5,12 +5,17 @@
 import { test } from 'node:test';
 import { DeletionLog } from '../src/bookkeeping/deletion-log';
 import { CloudView } from '../src/coordination/fleet/cloud-view';
-import { JOBS_PER_MESSAGE, progressMessages } from '../src/coordination/ownership/progress-messages';
+import { JOBS_PER_MESSAGE, heartbeatMessages } from '../src/coordination/ownership/progress-messages';
 import { codec } from '../src/protocol/codec';
 import type { Cloud } from '../src/protocol/cloud';
 import { readPeerMessage, writePeerMessage } from '../src/protocol/peers';
-import { HttpStateStore } from '../src/protocol/state';
-import { AnswerTooLarge, HttpClient, NoAnswer, type HttpCaller } from '../src/transport/http-client';
+import { HttpKeyValueStore } from '../src/protocol/state';
+import {
+  ResponseTooLargeError,
+  HttpClient,
+  NoResponseError,
+  type HttpCaller,
+} from '../src/transport/http-client';
 import { createServer as createNodeServer, type Route } from '../src/transport/http-server';
 import { MAX_FRAME_BYTES } from '../src/transport/peer-link';
 import { RateLimit } from '../src/transport/rate-limit';
@@ -56,35 +61,40 @@
     server.close();
   });
   const address = `127.0.0.1:${port}`;
-  await assert.rejects(client.call(address, 'GET', '/', undefined, 1000), AnswerTooLarge);
+  await assert.rejects(client.call(address, 'GET', '/', undefined, 1000), ResponseTooLargeError);
   const clock = new FakeClock();
   const limit = (): RateLimit => new RateLimit(clock, 100, 100);
-  const store = new HttpStateStore(client, address, limit(), limit(), 1000);
+  const store = new HttpKeyValueStore(client, address, limit(), limit(), 1000);
   assert.equal(await store.changes('live/', 1, 0), undefined);
-  assert.equal(store.troubled, false, 'the service is there');
-  const cut: HttpCaller = { call: () => Promise.reject(new NoAnswer('cut off', true)) };
+  assert.equal(store.isUnavailable, false, 'the service is there');
+  const cut: HttpCaller = { call: () => Promise.reject(new NoResponseError('cut off', true)) };
   await assert.rejects(
-    new HttpStateStore(cut, address, limit(), limit(), 1000).changes('live/', 1, 0),
-    NoAnswer,
+    new HttpKeyValueStore(cut, address, limit(), limit(), 1000).changes('live/', 1, 0),
+    NoResponseError,
   );
 });
 
 test('progress of any number of jobs reaches the peers, in messages that fit a frame', () => {
-  const state = { from: 'node-0', fresh: true, unheard: [1], turnedAway: [{ shard: 1, machines: MACHINES }] };
+  const state = {
+    from: 'node-0',
+    isViewFresh: true,
+    unreachableShards: [1],
+    redirected: [{ shard: 1, machines: MACHINES }],
+  };
   const jobs = Array.from({ length: 2 * JOBS_PER_MESSAGE + 1 }, (_, n) => {
     return { id: `req-${String(n).padStart(6, '0')}`, running: 100_000, done: 100_000 };
   });
-  const frames = progressMessages(state, jobs).map(writePeerMessage);
+  const frames = heartbeatMessages(state, jobs).map(writePeerMessage);
   assert.equal(frames.length, 3);
   const read = frames.flatMap((frame) => {
     assert.ok(frame.length < MAX_FRAME_BYTES);
     const message = readPeerMessage(frame);
-    assert.ok(message?.kind === 'progress');
-    assert.deepEqual({ ...message.progress, jobs: [] }, { ...state, jobs: [] });
-    return message.progress.jobs;
+    assert.ok(message?.kind === 'heartbeat');
+    assert.deepEqual({ ...message.heartbeat, jobs: [] }, { ...state, jobs: [] });
+    return message.heartbeat.jobs;
   });
   assert.deepEqual(read, jobs);
-  assert.equal(progressMessages(state, []).length, 1, 'a sign of life');
+  assert.equal(heartbeatMessages(state, []).length, 1, 'a sign of life');
 });
 
 test("reading the list of a large fleet leaves most of the cloud's calls to rentals and releases", async () => {
--- a/test/format-gate.test.ts
+++ b/test/format-gate.test.ts
@@ -4,7 +4,7 @@
 import { FormatGate } from '../src/bookkeeping/format-gate';
 import { FORMAT, KEY, LIVE, RECORD_FORMAT } from '../src/bookkeeping/records';
 import { WatchCache } from '../src/bookkeeping/watch-cache';
-import { HttpStateStore, StateRefused } from '../src/protocol/state';
+import { HttpKeyValueStore, StoreRejectedError } from '../src/protocol/state';
 import { RateLimit } from '../src/transport/rate-limit';
 import { FakeClock } from './fakes/clock';
 import { FakeStateService } from './fakes/state-service';
@@ -18,7 +18,7 @@
 class Deployment {
   readonly #clock = new FakeClock();
   readonly service = new FakeStateService(this.#clock);
-  readonly store = new HttpStateStore(
+  readonly store = new HttpKeyValueStore(
     {
       call: (to, method, path, body) => this.service.handle({ from: 'node', to, method, path, body }),
     },
@@ -44,7 +44,7 @@
 
   /** Puts a mark there as another version or an operator may have left it. */
   async put(node: string, value: unknown): Promise<void> {
-    await this.store.txn([], [{ put: KEY.format(node), value }]);
+    await this.store.compareAndSwap([], [{ put: KEY.format(node), value }]);
   }
 }
 
@@ -67,7 +67,7 @@
   for (const node of CONTROLLERS) await (await deployment.gate(node)).mark();
   const gate = await deployment.gate('node-0');
   assert.equal(gate.isOpen, true);
-  await deployment.store.txn([], [{ delete: KEY.format('node-2') }]);
+  await deployment.store.compareAndSwap([], [{ delete: KEY.format('node-2') }]);
   deployment.service.outage(true);
   assert.equal(gate.isOpen, true);
   assert.equal(await gate.confirmOpen(), true);
@@ -78,8 +78,8 @@
   for (const node of CONTROLLERS.slice(1)) await (await deployment.gate(node)).mark();
   const gate = await deployment.gate('node-0');
   deployment.service.outage(true);
-  await assert.rejects(gate.confirmOpen(), StateRefused);
-  await assert.rejects(gate.mark(), StateRefused);
+  await assert.rejects(gate.confirmOpen(), StoreRejectedError);
+  await assert.rejects(gate.mark(), StoreRejectedError);
   assert.equal(gate.isOpen, false);
 });
 
--- a/test/formats.test.ts
+++ b/test/formats.test.ts
@@ -29,7 +29,7 @@
 /** Each kind of record: how its reader is called, and the key that the present version would look under. */
 const KINDS: Record<string, { read(value: unknown): unknown; key(...parts: string[]): string }> = {
   'live/leader': { read: read.leader, key: () => KEY.leader },
-  'live/baton': { read: read.baton, key: () => KEY.baton },
+  'live/baton': { read: read.fencingToken, key: () => KEY.fencingToken },
   'live/types': { read: read.types, key: () => KEY.types },
   'live/node/NODE': { read: read.node, key: (node = '') => KEY.node(node) },
   'live/block/NUMBER': { read: read.shard, key: (shard) => KEY.shard(Number(shard)) },
@@ -45,6 +45,43 @@
   'final/JOB': { read: read.final, key: (id = '') => KEY.final(id) },
 };
 
+/** A peer message as the production version reads it, in its own terms. */
+interface ProductionMessage {
+  kind: string;
+  event?: { key: string; value?: unknown };
+  progress?: Record<string, unknown>;
+  ask?: unknown;
+  promise?: Record<string, unknown>;
+}
+
+/** Messages in production's terms, and in those of the present version. */
+const PRESENT_KINDS: Record<string, PeerMessage['kind']> = {
+  nudge: 'change notification',
+  progress: 'heartbeat',
+  ask: 'lease extension request',
+  promise: 'lease extension grant',
+};
+
+/** The same message in the present version's terms: every field is renamed, none is added, left out or changed. */
+function inPresentTerms({ kind, event, progress, ask, promise }: ProductionMessage): unknown {
+  const present = { kind: PRESENT_KINDS[kind] ?? kind };
+  if (progress) {
+    const { fresh, unheard, turnedAway, ...rest } = progress;
+    const redirected = (turnedAway as { block: number; machines: number }[]).map(
+      ({ block, ...machines }) => ({
+        shard: block,
+        ...machines,
+      }),
+    );
+    return { ...present, heartbeat: { ...rest, isViewFresh: fresh, unreachableShards: unheard, redirected } };
+  }
+  if (promise) {
+    const { ended, ...rest } = promise;
+    return { ...present, grant: { ...rest, endedJobs: ended } };
+  }
+  return ask ? { ...present, request: ask } : { ...present, event };
+}
+
 const keyParts = (key: string): string[] => key.split('/').slice(key.startsWith('final/') ? 1 : 2);
 
 /** The kinds of records with all their fields. */
@@ -62,7 +99,8 @@
 function peerShapes({ peerMessages }: Samples): Record<string, string[]> {
   const shapes: Record<string, Set<string>> = {};
   for (const { base64, message } of peerMessages) {
-    const { kind, event } = message as { kind: string; event?: { key: string; value?: unknown } };
+    const { kind: term, event } = message as ProductionMessage;
+    const kind = PRESENT_KINDS[term] ?? term;
     const shape = (shapes[event ? `${kind} ${keyPattern(event.key)}` : kind] ??= new Set());
     for (const field of wireShape(Buffer.from(base64, 'base64'))) shape.add(field);
     if (event && 'value' in event) for (const field of valueShape(event.value)) shape.add(field);
@@ -73,13 +111,10 @@
 test('there is a sample of every kind of record and of peer message', () => {
   const kinds = new Set(samples.records.map(({ key }) => keyPattern(key)));
   assert.deepEqual([...kinds].sort(), Object.keys(KINDS).sort());
-  const messages = samples.peerMessages.map(({ message }) => message as PeerMessage);
-  assert.deepEqual([...new Set(messages.map(({ kind }) => kind))].sort(), [
-    'ask',
-    'nudge',
-    'progress',
-    'promise',
-  ]);
+  const messages = samples.peerMessages.map(({ message }) => message as ProductionMessage);
+  const messageKinds = [...new Set(messages.map(({ kind }) => kind))];
+  assert.deepEqual(messageKinds.sort(), Object.keys(PRESENT_KINDS).sort());
+  assert.deepEqual(messageKinds.sort(), ['ask', 'nudge', 'progress', 'promise']);
   const fields = new Set(samples.peerMessages.flatMap((s) => wireShape(Buffer.from(s.base64, 'base64'))));
   const numbers = [
     '1.1',
@@ -116,8 +151,10 @@
 test("production's messages are read as production reads them, and written with the same bytes", () => {
   for (const { base64, message } of samples.peerMessages) {
     const bytes = Buffer.from(base64, 'base64');
-    assert.deepEqual(readPeerMessage(bytes), message);
-    const written = writePeerMessage(message as PeerMessage);
+    const read = readPeerMessage(bytes);
+    assert.ok(read);
+    assert.deepEqual(read, inPresentTerms(message as ProductionMessage));
+    const written = writePeerMessage(read);
     assert.equal(Buffer.from(written).toString('base64'), base64);
   }
 });
--- a/test/formats/scenario.ts
+++ b/test/formats/scenario.ts
@@ -72,7 +72,9 @@
   #collectPeerMessage(bytes: Uint8Array): void {
     const message = readPeerMessage(bytes);
     const kind =
-      message?.kind === 'nudge' ? `${keyPattern(message.event.key)} ${message.event.deleted}` : message?.kind;
+      message?.kind === 'change notification'
+        ? `${keyPattern(message.event.key)} ${message.event.deleted}`
+        : message?.kind;
     const base64 = Buffer.from(bytes).toString('base64');
     this.#peerMessages.add([kind, ...wireShape(bytes)].join(' '), { base64, message });
   }
--- a/test/gap.test.ts
+++ b/test/gap.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { makeSettings, PROMISE_MS } from '../src/base/settings';
+import { makeSettings, LEASE_EXTENSION_MS } from '../src/base/settings';
 import { DRIFT } from '../src/bookkeeping/session';
 import type { NodeContext } from '../src/coordination/node-context';
 import { LeaseRelay } from '../src/coordination/ownership/lease-relay';
 import { FixedTimeout } from '../src/suspicion/peer-liveness';
 import { PeerReachability } from '../src/suspicion/peer-reachability';
-import type { Event } from '../src/protocol/state';
-import { parseReport } from '../src/protocol/workers';
+import type { ChangeEvent } from '../src/protocol/state';
+import { parseHeartbeat } from '../src/protocol/workers';
 import { ScriptedWatch } from './fakes/scripted-watch';
 import { CANCEL_S, World } from './fakes/world';
 
@@ -35,7 +35,7 @@
   test(`the gap: a cancellation confirmed by ${way} ends in time, though its owner's lease is extended by peers`, async () => {
     const { world, owner, second, third } = await busyWorld();
     // Nobody's view hears of it but through what nodes know of their own answers; watches that are open end in a second.
-    world.lostPeerMessages.add('nudge');
+    world.lostPeerMessages.add('change notification');
     const watches = world.network.rule(({ from, path }) =>
       path.startsWith('/changes') && from !== nameOf(world, owner) ? 'lose' : undefined,
     );
@@ -131,7 +131,7 @@
   // The new owner reaches it by no command, and of its reports only one arrives.
   world.network.rule(({ from, to }) => (from === machine.id || to === machine.address ? 'lose' : undefined));
   const report = machine.report();
-  world.lostPeerMessages.add('nudge');
+  world.lostPeerMessages.add('change notification');
   assert.equal(await world.cancel('req-1', second), 'withdrawn');
   world.kill(owner);
   await world.clock.advance(100);
@@ -149,7 +149,7 @@
   const world = new World();
   await world.submit('req-1', { pieces: 1 }, 300);
   await world.until('it runs', () => world.running.length === 1);
-  const report = parseReport(world.worker(world.where('req-1/0') ?? '').report());
+  const report = parseHeartbeat(world.worker(world.where('req-1/0') ?? '').report());
   assert.ok(report);
   const lease = { key: 'live/lease/0', value: { owner: 'node-1', token: 7 }, version: 1 };
   for (const ownLease of [true, false]) {
@@ -187,7 +187,11 @@
   };
 }
 
-const ended = (n: number, version: number): Event => ({ key: `live/job/req-${n}`, version, deleted: true });
+const ended = (n: number, version: number): ChangeEvent => ({
+  key: `live/job/req-${n}`,
+  version,
+  deleted: true,
+});
 
 test('what a node confirmed before its copy was loaded is named in its promises', async () => {
   const state = new ScriptedWatch();
@@ -218,12 +222,12 @@
     [5, 11.5],
     [5, 11],
   ] as const) {
-    const { shardLeaseMs, cancelDoubtMs } = makeSettings(platform(lease, cancel), {});
+    const { shardLeaseMs, cancellationUncertaintyMs } = makeSettings(platform(lease, cancel), {});
     const leaseMs = lease * 1000 * (1 + 2 * DRIFT);
-    assert.ok(cancelDoubtMs >= 2_500);
+    assert.ok(cancellationUncertaintyMs >= 2_500);
     // Until it has heard, an owner acts by its lease or by a promise.
-    const hearingMs = Math.max(shardLeaseMs, PROMISE_MS);
-    assert.ok(hearingMs + cancelDoubtMs + leaseMs < cancel * 1000, `${lease} and ${cancel}`);
+    const hearingMs = Math.max(shardLeaseMs, LEASE_EXTENSION_MS);
+    assert.ok(hearingMs + cancellationUncertaintyMs + leaseMs < cancel * 1000, `${lease} and ${cancel}`);
   }
   assert.throws(() => makeSettings(platform(5, 10.9), {}), /deployment\.workers\.cancel_s/);
 });
--- a/test/lean.test.ts
+++ b/test/lean.test.ts
@@ -3,12 +3,12 @@
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { test } from 'node:test';
-import { Wake } from '../src/base/clock';
+import { WakeSignal } from '../src/base/clock';
 import { throttlingFor } from '../src/base/throttling';
 import { idleNow, shareSockets } from '../src/base/sockets';
 import { read } from '../src/bookkeeping/records';
 import { codec } from '../src/protocol/codec';
-import { HttpClient, NoAnswer } from '../src/transport/http-client';
+import { HttpClient, NoResponseError } from '../src/transport/http-client';
 import { FakeClock } from './fakes/clock';
 import { submission } from './fakes/submission';
 import { World } from './fakes/world';
@@ -77,12 +77,12 @@
   const until = performance.now() + 300;
   while (performance.now() < until);
   assert.equal((await asked).status, 200);
-  await assert.rejects(ask('/never'), NoAnswer);
+  await assert.rejects(ask('/never'), NoResponseError);
 });
 
 test('a wake ends a wait at once, comes to the next wait if nobody waits, and needs no timer of its own', async () => {
   const clock = new FakeClock();
-  const wake = new Wake(clock);
+  const wake = new WakeSignal(clock);
   const ends: number[] = [];
   const wait = async (): Promise<void> => {
     await wake.wait(100);
--- a/test/limited-service.ts
+++ b/test/limited-service.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { runLoop } from '../src/base/loop';
 import { WatchCache } from '../src/bookkeeping/watch-cache';
-import { HttpStateStore } from '../src/protocol/state';
+import { HttpKeyValueStore } from '../src/protocol/state';
 import { RateLimit } from '../src/transport/rate-limit';
 import { FakeClock } from './fakes/clock';
 import { FakeNetwork } from './fakes/network';
@@ -50,10 +50,10 @@
     this.network.attach('10.2.0.1:2379', (request) => this.state.handle(request));
   }
 
-  #newStore(writeRps: number): HttpStateStore {
+  #newStore(writeRps: number): HttpKeyValueStore {
     const [requests, writes] = [NOW.rps, writeRps].map((rate) => new RateLimit(this.clock, rate, rate));
     assert(requests && writes);
-    return new HttpStateStore(this.network.caller('node-0'), '10.2.0.1:2379', requests, writes, 1500);
+    return new HttpKeyValueStore(this.network.caller('node-0'), '10.2.0.1:2379', requests, writes, 1500);
   }
 
   /** A copy that is read anew. */
