--- a/test/load/admission.ts
+++ b/test/load/admission.ts
@@ -1,6 +1,6 @@
 /** @file Fair admission with three real controllers on the loopback range, ten minutes scaled down. */
 import { parseArgs } from 'node:util';
-import { NoAnswer, type Answer } from '../../src/transport/http-client';
+import { NoResponseError, type HttpResponse } from '../../src/transport/http-client';
 import { FakeStateService } from '../fakes/state-service';
 import { submission } from '../fakes/submission';
 import type { JobFacts } from '../fakes/worker';
@@ -63,13 +63,13 @@
   return { ...submission(id, fields), nameId: id };
 }
 
-async function ask(index: number, body: unknown): Promise<Answer> {
+async function ask(index: number, body: unknown): Promise<HttpResponse> {
   counts.submissions += 1;
   const { address = '' } = processes.nodes[index % 3] ?? {};
   try {
     return await processes.http.call(address, 'POST', '/work', body, 5_000);
   } catch (error) {
-    if (!(error instanceof NoAnswer)) throw error;
+    if (!(error instanceof NoResponseError)) throw error;
     return { status: 0, body: null };
   }
 }
--- a/test/load/drill.ts
+++ b/test/load/drill.ts
@@ -1,6 +1,6 @@
 /** @file One drill: a deployment on the loopback range under work, and the faults that are played on it. */
 import { KEY, read } from '../../src/bookkeeping/records';
-import { NoAnswer } from '../../src/transport/http-client';
+import { NoResponseError } from '../../src/transport/http-client';
 import { checkOwnership } from '../fakes/ownership-history';
 import { FakeStateService } from '../fakes/state-service';
 import { submission } from '../fakes/submission';
@@ -282,7 +282,7 @@
     try {
       return (await this.#processes.http.call(address, method, path, body, timeoutMs)).body;
     } catch (error) {
-      if (!(error instanceof NoAnswer)) throw error;
+      if (!(error instanceof NoResponseError)) throw error;
       if (path.startsWith('/work')) this.#unanswered += 1;
       return undefined;
     }
--- a/test/load/main.ts
+++ b/test/load/main.ts
@@ -1,7 +1,7 @@
 import { readdirSync, readFileSync } from 'node:fs';
 import { performance } from 'node:perf_hooks';
 import { parseArgs } from 'node:util';
-import { NoAnswer } from '../../src/transport/http-client';
+import { NoResponseError } from '../../src/transport/http-client';
 import { FakeStateService } from '../fakes/state-service';
 import { submission } from '../fakes/submission';
 import type { JobFacts } from '../fakes/worker';
@@ -91,7 +91,7 @@
   try {
     return await http.call(node?.address ?? '', method, path, body, 2000);
   } catch (error) {
-    if (!(error instanceof NoAnswer)) throw error;
+    if (!(error instanceof NoResponseError)) throw error;
     counts.unanswered += 1;
     return { status: 0, body: null };
   }
--- a/test/machine.test.ts
+++ b/test/machine.test.ts
@@ -2,12 +2,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Machine } from '../src/coordination/shard/machine';
-import type { Report } from '../src/protocol/model';
+import type { WorkerHeartbeat } from '../src/protocol/model';
 import { type } from './decision-inputs';
 
-function reportOf(session: number, sequence: number): Report {
+function reportOf(session: number, sequence: number): WorkerHeartbeat {
   const where = { machine: 'host-1', address: '10.1.0.1:9000', type: 'm4', zone: 'a', spot: true };
-  return { ...where, session, sequence, token: 1, noticeS: null, attempts: [] };
+  return { ...where, incarnation: session, sequence, fencingToken: 1, spotNoticeS: null, attempts: [] };
 }
 
 function machineTakenAt(now: number): Machine {
@@ -29,11 +29,11 @@
 
 test('a worker that answers commands but whose reports got no answer for a lease is given no starts', () => {
   const machine = machineTakenAt(0);
-  machine.absorb(reportOf(1, 1), 1000, 10_000, unknownJob);
+  machine.reconcile(reportOf(1, 1), 1000, 10_000, unknownJob);
   machine.settled = true;
   assert.equal(machine.mayStart(1500, 10_000, 2_000), true);
   // It answers commands all the time, but the lease that its reports renew has run out.
-  machine.absorb(reportOf(1, 2), 11_900, 10_000, unknownJob);
+  machine.reconcile(reportOf(1, 2), 11_900, 10_000, unknownJob);
   assert.equal(machine.mayStart(12_000, 10_000, 2_000), false);
   machine.renewedAt = 12_000;
   assert.equal(machine.mayStart(12_100, 10_000, 2_000), true);
@@ -41,20 +41,20 @@
 
 test('a session that began without any answer has its full lease from then', () => {
   const machine = machineTakenAt(0);
-  machine.absorb(reportOf(1, 1), 100, 10_000, unknownJob);
+  machine.reconcile(reportOf(1, 1), 100, 10_000, unknownJob);
   // Its lease ran out and the next session began, of which an answer to a command tells.
-  machine.absorb(reportOf(2, 1), 9_000, 10_000, unknownJob);
+  machine.reconcile(reportOf(2, 1), 9_000, 10_000, unknownJob);
   assert.ok(machine.deadAt(10_000) > 19_000);
 });
 
 test('a copy of a report is no heartbeat; a machine whose session changed though it was answered is one-way unreachable', () => {
   const machine = machineTakenAt(0);
   machine.settled = true;
-  machine.absorb(reportOf(1, 5), 1_000, 10_000, unknownJob);
-  machine.absorb(reportOf(1, 4), 2_500, 10_000, unknownJob);
+  machine.reconcile(reportOf(1, 5), 1_000, 10_000, unknownJob);
+  machine.reconcile(reportOf(1, 4), 2_500, 10_000, unknownJob);
   assert.equal(machine.heardAt, 1_000);
   machine.renewedAt = 9_000;
-  machine.absorb(reportOf(2, 1), 11_000, 10_000, unknownJob);
+  machine.reconcile(reportOf(2, 1), 11_000, 10_000, unknownJob);
   assert.equal(machine.deafSince, 11_000);
   assert.equal(machine.mayStart(11_100, 10_000, 2_000), false);
 });
--- a/test/malformed-messages.test.ts
+++ b/test/malformed-messages.test.ts
@@ -1,7 +1,7 @@
 /** @file Malformed answers and reports are taken for none. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Answer } from '../src/transport/http-client';
+import type { HttpResponse } from '../src/transport/http-client';
 import { submission } from './fakes/submission';
 import { World } from './fakes/world';
 import { NODES } from './user-steps';
@@ -11,7 +11,7 @@
 test('malformed answers of the state service count as none: users are never told a guess', async () => {
   const world = new World();
   await world.submit('req-1', { pieces: 2 }, 300);
-  const garbage: Answer[] = [
+  const garbage: HttpResponse[] = [
     { status: 404, body: null },
     { status: 404, body: { error: 'no such page' } },
     { status: 200, body: null },
--- a/test/production/bundle.ts
+++ b/test/production/bundle.ts
@@ -1,15 +1,21 @@
 import { execFileSync } from 'node:child_process';
-import { cpSync } from 'node:fs';
+import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { extractProduction, PRODUCTION_DIRECTORY } from './extract';
 
-const PARTS = 'test/fakes/controller-parts.ts';
+/** What `test/fakes/controller-parts.ts` names of the present version, under the names of the production version. */
+const PARTS = `
+export { makeSettings } from '../../src/base/settings';
+export { Node } from '../../src/coordination/node';
+export { createRoutes } from '../../src/coordination/routes';
+export { NoAnswer as NoResponseError } from '../../src/transport/http-client';
+`;
 
 /** Bundles the production version's controller, for tests in which it serves beside the present one. */
 function main(): void {
   extractProduction();
-  const entry = join(PRODUCTION_DIRECTORY, PARTS);
-  cpSync(PARTS, entry);
+  const entry = join(PRODUCTION_DIRECTORY, 'test/fakes/controller-parts.ts');
+  writeFileSync(entry, PARTS);
   execFileSync('npx', [
     ...['esbuild', entry, '--bundle', '--platform=node', '--target=node20', '--loader:.proto=text'],
     ...['--sourcemap', '--log-level=warning', `--outfile=${join(PRODUCTION_DIRECTORY, 'controller.js')}`],
--- a/test/record-sweep.test.ts
+++ b/test/record-sweep.test.ts
@@ -12,7 +12,7 @@
   const service = new Service();
   await service.load();
   const value = { dependencies: ['req-2'] };
-  const written = service.store.txn([], [{ put: 'live/dependencies/req-1/0', value }]);
+  const written = service.store.compareAndSwap([], [{ put: 'live/dependencies/req-1/0', value }]);
   await service.clock.advance(2_000);
   await written;
   const sweep = new RecordSweep(service.cache, service.clock);
--- a/test/state-limits-fall.test.ts
+++ b/test/state-limits-fall.test.ts
@@ -9,7 +9,7 @@
 import { Recorder } from '../src/coordination/shard/recorder';
 import type { CloudView } from '../src/coordination/fleet/cloud-view';
 import type { Job } from '../src/protocol/model';
-import { type Guard } from '../src/protocol/state';
+import { type Condition } from '../src/protocol/state';
 import { submission } from './fakes/submission';
 import { FALLEN, FALLEN_SERVICE, NOW_SERVICE, platform, quiet, Service } from './limited-service';
 import { World } from './fakes/world';
@@ -50,15 +50,15 @@
       announce: () => undefined,
     } as unknown as NodeContext;
     this.shard = new Shard(
-      { number: 0, teams: ['blue'], token: 1, leaseVersion: 0, takenRevision: 0 },
+      { number: 0, teams: ['blue'], fencingToken: 1, leaseVersion: 0, takenRevision: 0 },
       deps,
       () => undefined,
     );
-    const guard: Guard = { key: 'live/lease/0', version: 0 };
+    const guard: Condition = { key: 'live/lease/0', version: 0 };
     const recorded = {
       tables: this.shard.tables,
       entitled: true,
-      leaseGuard: () => guard,
+      leaseCondition: () => guard,
       closeJob: (id: string) => {
         this.closed.push(id);
         this.shard.tables.delete(id);
@@ -110,7 +110,7 @@
   const service = new Service();
   await service.load();
   const record = { put: 'live/job/req-1', value: { job: JOB, submittedAt: 0 } };
-  await service.whileDoing(service.store.txn([], [record]));
+  await service.whileDoing(service.store.compareAndSwap([], [record]));
   return service;
 }
 
@@ -177,7 +177,7 @@
   // The leader deletes what the last transaction had no room for.
   assert.ok([...service.keys('live/done/'), ...service.keys('live/bits/')].length > 0);
   const leads = { put: 'live/leader', value: { node: 'node-0' } };
-  await service.whileDoing(service.store.txn([], [leads]));
+  await service.whileDoing(service.store.compareAndSwap([], [leads]));
   const leader = sweeper(service, service.cache);
   for (let step = 0; step < 5; step += 1) {
     await service.whileDoing(leader.step());
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -160,7 +160,7 @@
   assert.deepEqual(readTypes(service.cache), many);
   assert.deepEqual(typeBatches(many, service.cache, fallen), []);
   // A part that is missing makes the old record count again.
-  await service.whileDoing(service.store.txn([], [{ delete: 'live/types-part/1' }]));
+  await service.whileDoing(service.store.compareAndSwap([], [{ delete: 'live/types-part/1' }]));
   assert.deepEqual(readTypes(service.cache), few);
   // Fewer types need fewer parts; those left over go.
   await service.whileDoing(storeTypes(many.slice(0, 15), service.cache, service.store, fallen));
--- a/test/submission-answers.test.ts
+++ b/test/submission-answers.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { createRoutes } from '../src/coordination/routes';
 import { codec } from '../src/protocol/codec';
-import type { Answer } from '../src/transport/http-client';
+import type { HttpResponse } from '../src/transport/http-client';
 import { submission } from './fakes/submission';
 import { World } from './fakes/world';
 import { NODES } from './user-steps';
@@ -100,7 +100,7 @@
   );
   await world.clock.advance(130_000);
   for (const index of NODES) {
-    const post = async (id: string, fields = {}): Promise<Answer> =>
+    const post = async (id: string, fields = {}): Promise<HttpResponse> =>
       world.ask(index, 'POST', '/work', submission(id, fields));
     const over = await post('req-1');
     assert.deepEqual([over.status, (over.body as { standing: string }).standing], [200, 'done']);
--- a/test/suspicion-messages.test.ts
+++ b/test/suspicion-messages.test.ts
@@ -5,8 +5,8 @@
 import { LIVE } from '../src/bookkeeping/records';
 import { WatchCache } from '../src/bookkeeping/watch-cache';
 import type { PeerView } from '../src/protocol/peer-view';
-import { readPeerMessage, writePeerMessage, type Progress } from '../src/protocol/peers';
-import { HttpStateStore } from '../src/protocol/state';
+import { readPeerMessage, writePeerMessage, type PeerHeartbeat } from '../src/protocol/peers';
+import { HttpKeyValueStore } from '../src/protocol/state';
 import { Suspicion } from '../src/suspicion/suspicion';
 import { FakeClock } from './fakes/clock';
 import { World } from './fakes/world';
@@ -39,25 +39,31 @@
   ],
 };
 
-const PROGRESS: Progress = { from: 'node-0', fresh: true, jobs: [], unheard: [], turnedAway: [] };
+const PROGRESS: PeerHeartbeat = {
+  from: 'node-0',
+  isViewFresh: true,
+  jobs: [],
+  unreachableShards: [],
+  redirected: [],
+};
 
 test('a view comes back from the wire as it was; a message without one has none', () => {
-  const message = { kind: 'progress' as const, progress: { ...PROGRESS, view: VIEW } };
+  const message = { kind: 'heartbeat' as const, heartbeat: { ...PROGRESS, view: VIEW } };
   assert.deepEqual(readPeerMessage(writePeerMessage(message)), message);
-  const without = { kind: 'progress' as const, progress: PROGRESS };
+  const without = { kind: 'heartbeat' as const, heartbeat: PROGRESS };
   assert.deepEqual(readPeerMessage(writePeerMessage(without)), without);
 });
 
 test('a status or reason that this version does not know makes the view malformed, not the message', () => {
-  const bytes = writePeerMessage({ kind: 'progress', progress: { ...PROGRESS, view: VIEW } });
+  const bytes = writePeerMessage({ kind: 'heartbeat', heartbeat: { ...PROGRESS, view: VIEW } });
   // The status of the first opinion: field 2 of Opinion, a varint.
   const name = Buffer.from(bytes).indexOf('node-1');
   const changed = Buffer.from(bytes);
   assert.deepEqual([...changed.subarray(name + 6, name + 8)], [0x10, 2]);
   changed[name + 7] = 99;
   const read = readPeerMessage(changed);
-  assert.ok(read?.kind === 'progress');
-  assert.deepEqual([read.progress.isViewMalformed, read.progress.view], [true, undefined]);
+  assert.ok(read?.kind === 'heartbeat');
+  assert.deepEqual([read.heartbeat.isViewMalformed, read.heartbeat.view], [true, undefined]);
 });
 
 /** Suspicion of node-0, with what it logged. */
@@ -66,7 +72,7 @@
   const unreachable = { call: () => new Promise<never>(() => undefined) };
   const limit = new RateLimit(clock, 100, 100);
   const cache = new WatchCache(
-    new HttpStateStore(unreachable, 'state', limit, limit, 1_000),
+    new HttpKeyValueStore(unreachable, 'state', limit, limit, 1_000),
     LIVE,
     clock,
     1_000,
@@ -84,7 +90,7 @@
   return { suspicion, warnings };
 }
 
-const fromPeer = (view: Partial<PeerView>, fields: Partial<Progress> = {}): Progress => ({
+const fromPeer = (view: Partial<PeerView>, fields: Partial<PeerHeartbeat> = {}): PeerHeartbeat => ({
   ...PROGRESS,
   from: 'node-1',
   view: { ...VIEW, opinions: [], ...view },
@@ -93,9 +99,9 @@
 
 test('messages of unknown nodes, of earlier runs and incarnations, and malformed ones are dropped and counted', () => {
   const { suspicion, warnings } = suspicionAlone();
-  const take = (progress: Progress): boolean => {
+  const take = (progress: PeerHeartbeat): boolean => {
     const isAccepted = suspicion.accepts(progress);
-    if (isAccepted) suspicion.onProgress(progress);
+    if (isAccepted) suspicion.onHeartbeat(progress);
     return isAccepted;
   };
   assert.equal(take(fromPeer({ run: 12, incarnation: 2 })), true);
@@ -121,7 +127,7 @@
 
 test('a suspect refutes with a higher incarnation; a suspicion of an earlier run is not its own', () => {
   const { suspicion } = suspicionAlone();
-  const suspects = (incarnation: number): Progress =>
+  const suspects = (incarnation: number): PeerHeartbeat =>
     fromPeer({
       opinions: [
         {
@@ -135,11 +141,11 @@
         },
       ],
     });
-  suspicion.onProgress(suspects(0));
+  suspicion.onHeartbeat(suspects(0));
   assert.equal(suspicion.view().incarnation, 1);
-  suspicion.onProgress(suspects(0));
+  suspicion.onHeartbeat(suspects(0));
   assert.equal(suspicion.view().incarnation, 1);
-  suspicion.onProgress(suspects(7));
+  suspicion.onHeartbeat(suspects(7));
   assert.equal(suspicion.view().incarnation, 8);
 });
 
@@ -151,7 +157,7 @@
   for (let second = 0; second < 20; second += 1) {
     for (const { node } of world.controllers) {
       node.onPeerFrame(Buffer.from([0x12, 0xff, 0xff, 0x01]));
-      node.onPeerFrame(Buffer.from(writePeerMessage({ kind: 'progress', progress: forged })));
+      node.onPeerFrame(Buffer.from(writePeerMessage({ kind: 'heartbeat', heartbeat: forged })));
     }
     await world.clock.advance(1_000);
   }
--- a/test/suspicion-waking.test.ts
+++ b/test/suspicion-waking.test.ts
@@ -4,9 +4,9 @@
 import type { AddressInfo } from 'node:net';
 import { test } from 'node:test';
 import { RateLimit } from '../src/transport/rate-limit';
-import { Cloud, RightEnded } from '../src/protocol/cloud';
+import { Cloud, AuthorityLostError } from '../src/protocol/cloud';
 import { codec } from '../src/protocol/codec';
-import { HttpClient, NoAnswer } from '../src/transport/http-client';
+import { HttpClient, NoResponseError } from '../src/transport/http-client';
 import { FakeClock } from './fakes/clock';
 import { freezeFor, othersThan, playFault, SUSPICION_ON, usersDuring, type Fault } from './suspicion-steps';
 
@@ -101,9 +101,9 @@
   };
   const cloud = new Cloud(http, 'cloud', new RateLimit(clock, 1, 1), 1_000);
   let mayAct = true;
-  await cloud.release(['host-1'], () => mayAct);
-  const late = cloud.release(['host-2'], () => mayAct);
-  const refused = assert.rejects(late, RightEnded);
+  await cloud.deleteMachines(['host-1'], () => mayAct);
+  const late = cloud.deleteMachines(['host-2'], () => mayAct);
+  const refused = assert.rejects(late, AuthorityLostError);
   await clock.advance(500);
   mayAct = false;
   await clock.advance(1_000);
@@ -128,7 +128,7 @@
   const { server, address, count } = await countingServer();
   const http = new HttpClient(codec, { perHost: 1, idle: () => 4 }, 1_000);
   const send = (mayLeave: () => boolean) => http.call(address, 'POST', '/do', {}, 1_000, mayLeave);
-  const wasNotSent = (error: unknown): boolean => error instanceof NoAnswer && !error.maybeExecuted;
+  const wasNotSent = (error: unknown): boolean => error instanceof NoResponseError && !error.mayHaveExecuted;
   await assert.rejects(
     send(() => false),
     wasNotSent,
--- a/test/transactions.test.ts
+++ b/test/transactions.test.ts
@@ -4,7 +4,7 @@
 import type { NodeContext } from '../src/coordination/node-context';
 import type { Machine } from '../src/coordination/shard/machine';
 import { UpRecords } from '../src/coordination/shard/up-records';
-import { NoAnswer } from '../src/transport/http-client';
+import { NoResponseError } from '../src/transport/http-client';
 import { FakeClock } from './fakes/clock';
 import type { Fate, Request } from './fakes/network';
 import { World } from './fakes/world';
@@ -137,7 +137,7 @@
     try {
       if (world.controllers[index]?.alive === true) return await ask(index);
     } catch (error) {
-      if (!(error instanceof NoAnswer) || attempt > 12) throw error;
+      if (!(error instanceof NoResponseError) || attempt > 12) throw error;
     }
   }
 }
--- a/test/trouble.test.ts
+++ b/test/trouble.test.ts
@@ -44,7 +44,7 @@
   await world.until('3 tasks run', () => world.running.length >= 3);
   const owner = `node-${world.owner}`;
   const others = [0, 1, 2].filter((index) => index !== world.owner);
-  // The owner hears nothing of it: its watch is cut, and the nudge is lost with the answer to the user's node.
+  // The owner hears nothing of it: its watch is cut, and the change notification is lost with the answer to the user's node.
   world.state.refused.add(owner);
   world.silencePeers = true;
   assert.equal(await world.cancel('req-1', others[0]), 'withdrawn');
--- a/test/user-steps.ts
+++ b/test/user-steps.ts
@@ -1,6 +1,6 @@
 /** @file Steps of users that poll all nodes, shared by several scenarios. */
 import assert from 'node:assert/strict';
-import type { Answer } from '../src/transport/http-client';
+import type { HttpResponse } from '../src/transport/http-client';
 import type { Request } from './fakes/network';
 import type { World } from './fakes/world';
 
@@ -26,7 +26,7 @@
   method: string,
   path: string,
   body?: unknown,
-): Promise<Answer | undefined> {
+): Promise<HttpResponse | undefined> {
   return world.network
     .caller('user')
     .call(world.controllers[to]?.address ?? '', method, path, body, 5000)
@@ -36,7 +36,7 @@
 /** Users poll all nodes, and repeat the submission there, every few milliseconds. */
 export function closeLooks(world: World, id: string, job: unknown, forMs: number): { standings: string[] } {
   const seen = { standings: [] as string[] };
-  const note = (answer: Answer | undefined): void => {
+  const note = (answer: HttpResponse | undefined): void => {
     if (answer?.status === 200 || answer?.status === 201)
       seen.standings.push((answer.body as { standing: string }).standing);
   };
--- a/test/walk-meetings.ts
+++ b/test/walk-meetings.ts
@@ -1,4 +1,4 @@
-import type { Answer } from '../src/transport/http-client';
+import type { HttpResponse } from '../src/transport/http-client';
 import type { World } from './fakes/world';
 
 const NODES = [0, 1, 2];
@@ -11,7 +11,7 @@
   chance(share: number): boolean;
   one<T>(of: readonly T[]): T | undefined;
   note(what: string): void;
-  ask(index: number, method: string, path: string): Promise<Answer | undefined>;
+  ask(index: number, method: string, path: string): Promise<HttpResponse | undefined>;
   /** Submits a job whose tasks outlive the bound on cancellations; its id. */
   submitsLong(pieces: number): string;
   /** A trouble that lasts until the function that is returned is called, or the walk is over. */
@@ -115,8 +115,12 @@
     const [writer, reader] = this.#others(owner);
     const ends: (() => void)[] = [];
     if (walker.chance(0.8)) {
-      world.lostPeerMessages.add('nudge');
-      ends.push(walker.holds('nudges are lost', () => world.lostPeerMessages.delete('nudge')));
+      world.lostPeerMessages.add('change notification');
+      ends.push(
+        walker.holds('change notifications are lost', () =>
+          world.lostPeerMessages.delete('change notification'),
+        ),
+      );
     }
     let watches = (): void => undefined;
     if (walker.chance(0.8)) {
--- a/test/walk.ts
+++ b/test/walk.ts
@@ -1,6 +1,6 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import type { Answer } from '../src/transport/http-client';
+import type { HttpResponse } from '../src/transport/http-client';
 import type { Observer } from './fakes/network';
 import { submission } from './fakes/submission';
 import { World } from './fakes/world';
@@ -201,7 +201,7 @@
     else if (kind < 92) this.#odd(id);
   }
 
-  async #ask(index: number, method: string, path: string, body?: unknown): Promise<Answer | undefined> {
+  async #ask(index: number, method: string, path: string, body?: unknown): Promise<HttpResponse | undefined> {
     const address = this.world.controllers[index]?.address ?? '';
     const answered = this.world.network.caller('user').call(address, method, path, body, 5000);
     return answered.catch(() => undefined);
