--- a/src/admission/admission-control.ts
+++ b/src/admission/admission-control.ts
@@ -9,7 +9,7 @@
 import { KEY } from '../bookkeeping/records';
 import type { WatchCache } from '../bookkeeping/watch-cache';
 import type { Job } from '../protocol/model';
-import type { ChangeEvent, Condition, KeyValueStore } from '../protocol/state';
+import type { ChangeEvent, Condition, KeyValueStore } from '../protocol/key-value-store';
 import { NoResponseError } from '../transport/http-client';
 import { Busy, type RateLimit } from '../transport/rate-limit';
 import { decide } from './decision';
--- a/src/admission/epoch-records.ts
+++ b/src/admission/epoch-records.ts
@@ -1,7 +1,7 @@
 /** @file Stores admission epochs in the state service and reads them back. */
 import { createHash } from 'node:crypto';
 import { KEY, read, type AdmissionRecord } from '../bookkeeping/records';
-import type { Change } from '../protocol/state';
+import type { Change } from '../protocol/key-value-store';
 import type { Epoch, FlowGrant } from './epoch';
 import { flowKey, type Flow } from './flow';
 
--- a/src/admission/epoch-writer.ts
+++ b/src/admission/epoch-writer.ts
@@ -4,7 +4,7 @@
 import type { FormatGate } from '../bookkeeping/format-gate';
 import { FORMAT, KEY, PREFIX, read } from '../bookkeeping/records';
 import type { WatchCache } from '../bookkeeping/watch-cache';
-import type { Change, ChangeEvent, Condition, KeyValueStore } from '../protocol/state';
+import type { Change, ChangeEvent, Condition, KeyValueStore } from '../protocol/key-value-store';
 import { initialEpoch, nextEpoch, type Epoch } from './epoch';
 import { epochChanges, readEpoch } from './epoch-records';
 import { countMachines, readLoadFacts, type FactsContext } from './load-facts';
--- a/src/base/event-loop-delay.ts
+++ b/src/base/event-loop-delay.ts
@@ -7,7 +7,7 @@
 /** From this delay on consolidation and eager re-issue are shed. */
 const SHED_OPTIMIZATION_MS = 250;
 /** From this delay on no machines are rented. */
-const SHED_RENTING_MS = 1_000;
+const SHED_SCALE_OUT_MS = 1_000;
 /** From this delay on submissions are refused: users wait 5 s for an answer, and would get it late anyway. */
 const SHED_SUBMISSIONS_MS = 2_000;
 
@@ -41,8 +41,8 @@
   }
 
   /** Whether there is time for renting machines. */
-  get allowsRenting(): boolean {
-    return this.#delayMs < SHED_RENTING_MS;
+  get allowsScaleOut(): boolean {
+    return this.#delayMs < SHED_SCALE_OUT_MS;
   }
 
   /** Whether there is time for new submissions. */
--- a/src/base/loop.ts
+++ b/src/base/loop.ts
@@ -5,15 +5,15 @@
 export async function runLoop(
   name: string,
   step: () => Promise<void>,
-  deps: { clock: Clock; log: Log; signal: AbortSignal },
+  context: { clock: Clock; log: Log; signal: AbortSignal },
   pauseAfterErrorMs = 500,
 ): Promise<void> {
-  while (!deps.signal.aborted) {
+  while (!context.signal.aborted) {
     try {
       await step();
     } catch (error) {
-      deps.log.warn({ loop: name, err: describeError(error) }, 'a loop step failed; it goes on');
-      await deps.clock.sleep(pauseAfterErrorMs, deps.signal);
+      context.log.warn({ loop: name, err: describeError(error) }, 'a loop step failed; it goes on');
+      await context.clock.sleep(pauseAfterErrorMs, context.signal);
     }
   }
 }
--- a/src/bookkeeping/admission-policy.ts
+++ b/src/bookkeeping/admission-policy.ts
@@ -1,6 +1,6 @@
 /** @file What the job store asks before it accepts a job. */
 import type { Job } from '../protocol/model';
-import type { Change, Condition } from '../protocol/state';
+import type { Change, Condition } from '../protocol/key-value-store';
 
 /** A submission that is not accepted now, and when to submit it again. */
 export class SubmissionDeferred extends Error {
--- a/src/bookkeeping/dependency-records.ts
+++ b/src/bookkeeping/dependency-records.ts
@@ -1,7 +1,7 @@
 /** @file How a job's list of dependencies is stored. */
 import { jsonBytes } from '../base/state-limits';
 import type { Job } from '../protocol/model';
-import type { Condition, KeyValueStore } from '../protocol/state';
+import type { Condition, KeyValueStore } from '../protocol/key-value-store';
 import { NoResponseError } from '../transport/http-client';
 import { KEY, read, type DependencyPartRecord, type JobRecord } from './records';
 import type { WatchCache } from './watch-cache';
--- a/src/bookkeeping/dependency-tracker.ts
+++ b/src/bookkeeping/dependency-tracker.ts
@@ -1,6 +1,6 @@
 /** @file Keeps the job graph in step with the records. */
 import { WakeSignal, type Clock } from '../base/clock';
-import type { ChangeEvent } from '../protocol/state';
+import type { ChangeEvent } from '../protocol/key-value-store';
 import { NoResponseError } from '../transport/http-client';
 import { recordedDependencies } from './dependency-records';
 import type { FinalStates } from './final-states';
@@ -75,14 +75,14 @@
    * Whether a job that this one needs, directly or through others, is cancelled. Throws where this node can't tell:
    * its copy of the records is too old, or an outcome can't be read.
    */
-  async isCondemned(id: string): Promise<boolean> {
-    if (this.graph.isCondemned(id)) return true;
+  async isCancellationPending(id: string): Promise<boolean> {
+    if (this.graph.isCancellationPending(id)) return true;
     if (this.graph.isReady(id)) return false;
     if (this.clock.now() - this.cache.freshAt > MAX_VIEW_AGE_MS) {
       throw new NoResponseError(`what ${id} waits for is not known here at present`, false);
     }
     if (this.#unread.size > 0) await this.#readAncestors(id);
-    return this.graph.isCondemned(id);
+    return this.graph.isCancellationPending(id);
   }
 
   async #readAncestors(id: string): Promise<void> {
--- a/src/bookkeeping/dependent-cancellation.ts
+++ b/src/bookkeeping/dependent-cancellation.ts
@@ -1,6 +1,6 @@
 /** @file Cancels the jobs that need a cancelled one. */
 import type { Clock } from '../base/clock';
-import type { ChangeEvent, KeyValueStore } from '../protocol/state';
+import type { ChangeEvent, KeyValueStore } from '../protocol/key-value-store';
 import type { DependencyTracker } from './dependency-tracker';
 import type { JobStore } from './job-store';
 import { KEY, type FinalRecord } from './records';
@@ -39,23 +39,23 @@
   /** One step; to be run in a loop. */
   async step(mayAct: () => boolean): Promise<void> {
     await this.context.clock.sleep(CHECK_MS);
-    if (mayAct()) await this.cancelCondemned();
+    if (mayAct()) await this.cancelPending();
   }
 
   /** Cancels all that this node knows to be condemned, a transaction at a time, until the steady time given. */
-  async cancelCondemned(until = Infinity): Promise<void> {
+  async cancelPending(until = Infinity): Promise<void> {
     const { changes, clock } = this.context;
     const size = Math.max(1, Math.floor(changes / CHANGES_PER_JOB));
-    const open = this.#condemned();
+    const open = this.#pendingCancellations();
     for (let from = 0; from < open.length && clock.now() < until; from += size) {
       await this.#cancel(open.slice(from, from + size));
     }
   }
 
-  #condemned(): Cancellation[] {
+  #pendingCancellations(): Cancellation[] {
     const { cache, dependencies, jobs } = this.context;
     const final = jobs.finalRecord('cancelled', 0);
-    return [...dependencies.graph.condemned].flatMap((id) => {
+    return [...dependencies.graph.pendingCancellations].flatMap((id) => {
       const entry = cache.get(KEY.job(id));
       return entry ? [{ id, version: entry.version, final }] : [];
     });
--- a/src/bookkeeping/ended-jobs.ts
+++ b/src/bookkeeping/ended-jobs.ts
@@ -47,7 +47,7 @@
   }
 
   /** What tasks of ended jobs may still use, by team; undefined when this node has not watched for long enough. */
-  use(): Map<string, Size> | undefined {
+  usageByTeam(): Map<string, Size> | undefined {
     if (this.clock.now() - this.cache.loadedAt < this.#windowMs) return undefined;
     this.#forget();
     const use = new Map<string, Size>();
--- a/src/bookkeeping/final-states.ts
+++ b/src/bookkeeping/final-states.ts
@@ -1,6 +1,6 @@
 /** @file Final states of jobs: their records, and a cache of what was read. */
 import type { FinalState, JobStatus } from '../protocol/model';
-import type { Entry, KeyValueStore } from '../protocol/state';
+import type { Entry, KeyValueStore } from '../protocol/key-value-store';
 import { NoResponseError } from '../transport/http-client';
 import type { FormatGate } from './format-gate';
 import { KEY, read, type FinalRecord } from './records';
--- a/src/bookkeeping/format-gate.ts
+++ b/src/bookkeeping/format-gate.ts
@@ -1,7 +1,7 @@
 /** @file When records that the previous version cannot read may be written. */
 import type { Clock } from '../base/clock';
 import type { Log } from '../base/log';
-import type { KeyValueStore } from '../protocol/state';
+import type { KeyValueStore } from '../protocol/key-value-store';
 import { FORMAT, KEY, read, RECORD_FORMAT } from './records';
 import type { WatchCache } from './watch-cache';
 
--- a/src/bookkeeping/job-graph.ts
+++ b/src/bookkeeping/job-graph.ts
@@ -22,7 +22,7 @@
   /** How many dependencies of a job are not known to be done. */
   readonly #unfinished = new Map<string, number>();
   /** Live jobs that need a cancelled one, directly or through others. */
-  readonly #condemned = new Set<string>();
+  readonly #pendingCancellations = new Set<string>();
   #version = 0;
 
   /** Changes whenever an edge comes or goes. */
@@ -31,8 +31,8 @@
   }
 
   /** Live jobs that are to be cancelled because a job that they need is cancelled. */
-  get condemned(): ReadonlySet<string> {
-    return this.#condemned;
+  get pendingCancellations(): ReadonlySet<string> {
+    return this.#pendingCancellations;
   }
 
   has(job: string): boolean {
@@ -70,8 +70,8 @@
     return this.#unfinished.get(job) === 0;
   }
 
-  isCondemned(job: string): boolean {
-    return this.#condemned.has(job);
+  isCancellationPending(job: string): boolean {
+    return this.#pendingCancellations.has(job);
   }
 
   add(job: string, dependencies: readonly string[]): void {
@@ -84,11 +84,11 @@
     }
     this.#unfinished.set(job, distinct.filter((d) => this.#outcomes.get(d)?.state !== 'done').length);
     this.#version += 1;
-    if (distinct.some((d) => this.#isCancelled(d))) this.#condemn([job]);
+    if (distinct.some((d) => this.#isCancelled(d))) this.#markForCancellation([job]);
   }
 
   #isCancelled(job: string): boolean {
-    return this.#condemned.has(job) || this.#outcomes.get(job)?.state === 'cancelled';
+    return this.#pendingCancellations.has(job) || this.#outcomes.get(job)?.state === 'cancelled';
   }
 
   /** The job is no longer live. */
@@ -97,7 +97,7 @@
     if (!dependencies) return;
     this.#dependencies.delete(job);
     this.#unfinished.delete(job);
-    this.#condemned.delete(job);
+    this.#pendingCancellations.delete(job);
     for (const dependency of dependencies) this.#removeEdge(dependency, job);
     this.#version += 1;
   }
@@ -116,7 +116,7 @@
     if (!dependents || this.#outcomes.has(job)) return [];
     this.#outcomes.set(job, outcome);
     if (outcome.state === 'cancelled') {
-      this.#condemn(dependents);
+      this.#markForCancellation(dependents);
       return [];
     }
     const ready: string[] = [];
@@ -129,11 +129,11 @@
   }
 
   /** Marks jobs, and all that need them. */
-  #condemn(jobs: Iterable<string>): void {
+  #markForCancellation(jobs: Iterable<string>): void {
     const open = [...jobs];
     for (let job = open.pop(); job !== undefined; job = open.pop()) {
-      if (this.#condemned.has(job)) continue;
-      this.#condemned.add(job);
+      if (this.#pendingCancellations.has(job)) continue;
+      this.#pendingCancellations.add(job);
       open.push(...this.dependentsOf(job));
     }
   }
--- a/src/bookkeeping/job-store.ts
+++ b/src/bookkeeping/job-store.ts
@@ -1,7 +1,13 @@
 /** @file Acceptance, questions and cancellation of jobs, against the state service. */
 import type { Clock } from '../base/clock';
 import type { FinalState, Job, JobStatus } from '../protocol/model';
-import type { Entry, ChangeEvent, Condition, KeyValueStore, CompareAndSwapResult } from '../protocol/state';
+import type {
+  Entry,
+  ChangeEvent,
+  Condition,
+  KeyValueStore,
+  CompareAndSwapResult,
+} from '../protocol/key-value-store';
 import { NoResponseError } from '../transport/http-client';
 import { SubmissionDeferred, type AdmissionPolicy, type AdmissionTerms } from './admission-policy';
 import { prepareJobRecord, type RecordLimits } from './dependency-records';
@@ -69,7 +75,7 @@
    */
   async #findLive(id: string, live: Entry): Promise<JobStatus | undefined> {
     const waits = this.#learnDependencies(live);
-    if (waits && (await this.context.dependencies.isCondemned(id))) return this.cancel(id, 0);
+    if (waits && (await this.context.dependencies.isCancellationPending(id))) return this.cancel(id, 0);
     const status: JobStatus = { id, state: 'queued', done: 0, running: 0 };
     if (!waits) return status;
     // It may have been cancelled meanwhile, by the leader or for another question.
--- a/src/bookkeeping/records.ts
+++ b/src/bookkeeping/records.ts
@@ -20,7 +20,7 @@
   fencingToken: 'live/baton',
   types: 'live/types',
   typesPart: (part: number) => `live/types-part/${part}`,
-  node: (node: string) => `live/node/${node}`,
+  controller: (node: string) => `live/node/${node}`,
   /** The record format that a controller understands; durable, see `FormatGate`. */
   format: (node: string) => `live/format/${node}`,
   shard: (shard: number) => `live/block/${shard}`,
@@ -46,7 +46,7 @@
   final: (id: string) => `final/${id}`,
 };
 export const PREFIX = {
-  node: 'live/node/',
+  controller: 'live/node/',
   shard: 'live/block/',
   machine: 'live/machine/',
   job: 'live/job/',
@@ -61,7 +61,7 @@
 
 const count = z.int().min(0);
 
-const nodeRecord = z.object({ lease: z.int() });
+const controllerRecord = z.object({ lease: z.int() });
 const formatRecord = z.object({ format: z.int().min(1) });
 const leaderRecord = z.object({ node: z.string() });
 const fencingTokenRecord = z.object({ next: count });
@@ -151,7 +151,7 @@
 export type AdmissionRecord = z.infer<typeof admissionRecord>;
 export type AdmissionClassRecord = z.infer<typeof admissionClassRecord>;
 export type AdmissionFlowRecord = z.infer<typeof admissionFlowRecord>;
-export type NodeRecord = z.infer<typeof nodeRecord>;
+export type ControllerRecord = z.infer<typeof controllerRecord>;
 export type ShardRecord = z.infer<typeof shardRecord>;
 export type LeaseRecord = z.infer<typeof leaseRecord>;
 export type MachineRecord = z.infer<typeof machineRecord>;
@@ -167,7 +167,7 @@
 }
 
 export const read = {
-  node: reader(nodeRecord),
+  controller: reader(controllerRecord),
   format: reader(formatRecord),
   leader: reader(leaderRecord),
   fencingToken: reader(fencingTokenRecord),
--- a/src/bookkeeping/session.ts
+++ b/src/bookkeeping/session.ts
@@ -1,7 +1,7 @@
 /** @file The node's own lease in the state service. */
 import type { Clock } from '../base/clock';
 import type { Log } from '../base/log';
-import type { KeyValueStore } from '../protocol/state';
+import type { KeyValueStore } from '../protocol/key-value-store';
 import { KEY, read } from './records';
 import type { WatchCache } from './watch-cache';
 
@@ -53,12 +53,12 @@
   }
 
   /** All peers granted to acquire nothing that this node holds until then. Has no effect once the right to act ended. */
-  prolong(until: number): void {
+  extendUntil(until: number): void {
     if (this.valid) this.#extendedUntil = Math.max(this.#extendedUntil, until);
   }
 
   /** Whether the right to act is running out because the state service doesn't answer. */
-  get waning(): boolean {
+  get isNearExpiry(): boolean {
     return this.#lease !== undefined && this.validUntil - this.clock.now() < this.ttlMs / 2;
   }
 
@@ -80,8 +80,8 @@
   }
 
   async #open(): Promise<void> {
-    const key = KEY.node(this.node);
-    const previous = read.node((await this.store.get(key))?.value);
+    const key = KEY.controller(this.node);
+    const previous = read.controller((await this.store.get(key))?.value);
     if (previous) {
       // The previous process of this node is dead, for this one replaced it. Its lease is revoked, so that nobody has to
       // wait for its end.
--- a/src/bookkeeping/type-records.ts
+++ b/src/bookkeeping/type-records.ts
@@ -1,7 +1,7 @@
 /** @file The record of machine types, whole or in parts. */
 import { jsonBytes } from '../base/state-limits';
 import type { MachineType } from '../protocol/model';
-import type { Change, Condition, KeyValueStore } from '../protocol/state';
+import type { Change, Condition, KeyValueStore } from '../protocol/key-value-store';
 import { KEY, PREFIX, read } from './records';
 import type { WatchCache } from './watch-cache';
 
--- a/src/bookkeeping/watch-cache.ts
+++ b/src/bookkeeping/watch-cache.ts
@@ -1,6 +1,6 @@
 /** @file A copy of the live records, kept up to date by a watch. */
 import type { Clock } from '../base/clock';
-import type { Entry, ChangeEvent, KeyValueStore } from '../protocol/state';
+import type { Entry, ChangeEvent, KeyValueStore } from '../protocol/key-value-store';
 import { DeletionLog, type Deletion } from './deletion-log';
 
 /** Told of a change, and of the value that was there before. */
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -7,7 +7,7 @@
 import { systemRandom } from '../base/random';
 import type { Settings } from '../base/settings';
 import { idleNow } from '../base/sockets';
-import { Node } from '../coordination/node';
+import { Controller } from '../coordination/controller';
 import { createRoutes } from '../coordination/routes';
 import { codec } from '../protocol/codec';
 import type { Connections } from '../transport/connections';
@@ -25,7 +25,7 @@
 const MB = 1024 * 1024;
 
 /** One line every now and then, by which an operator sees what this process uses of its quota. */
-async function reportUsage(log: Log, connections: Connections, node: Node): Promise<void> {
+async function reportUsage(log: Log, connections: Connections, node: Controller): Promise<void> {
   const before = process.cpuUsage();
   const from = systemClock.now();
   await systemClock.sleep(USAGE_MS);
@@ -70,7 +70,7 @@
     { perHost: 1, idle: () => idleNow(sockets, connections.size) },
     MAX_ANSWER_BYTES,
   );
-  const node = new Node(settings, {
+  const node = new Controller(settings, {
     clock: systemClock,
     // Node counts performance.now() from the start of the process.
     startedAt: 0,
@@ -117,7 +117,7 @@
   // Until then all it could say is 'not now'. Workers that lost their owner all come at once, and again every second:
   // refusing them by not listening costs nothing, while answering them kept a node that starts from ever being ready.
   const listenBy = systemClock.now() + LISTEN_AFTER_MS;
-  while (!node.informed && systemClock.now() < listenBy) await systemClock.sleep(10);
+  while (!node.isInitialized && systemClock.now() < listenBy) await systemClock.sleep(10);
   await server.listen({ host: host ?? '', port: Number(port), backlog: sockets.backlog });
   void runLoop('usage', () => reportUsage(log, connections, node), { clock: systemClock, log, signal });
   const { bind, back } = platform;
--- a/src/coordination/fleet/fleet-manager.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -4,24 +4,30 @@
 import { changesAtOnce } from '../../base/state-limits';
 import { KEY, type MachineRecord } from '../../bookkeeping/records';
 import { CloudRejectedError, MAX_MACHINES_PER_DELETE, MAX_MACHINES_PER_CREATE } from '../../protocol/cloud';
-import type { Condition } from '../../protocol/state';
-import type { NodeContext } from '../node-context';
-import { optionKey, planFleet, type FleetInput, type RentOption, type Rental } from './fleet';
+import type { Condition } from '../../protocol/key-value-store';
+import type { ControllerContext } from '../controller-context';
+import {
+  optionKey,
+  planScaling,
+  type ScalingInput,
+  type InstanceOption,
+  type ScaleOutRequest,
+} from './scaling-plan';
 import type { Machine } from '../shard/machine';
-import type { RecordOutcome } from '../shard/up-records';
+import type { RegistrationOutcome } from '../shard/machine-registration';
 
 /** What the fleet manager needs of the shard. */
-export interface Fleet {
+export interface AutoscalerShard {
   readonly shard: number;
   readonly machines: ReadonlyMap<string, Machine>;
   readonly entitled: boolean;
   /** How many machines report and wait for a record that they are up. */
-  readonly awaitedUpRecords: number;
+  readonly pendingRegistrations: number;
   leaseCondition(): Condition;
   /** What the last round found no room for, and the present state of the fleet. */
-  fleetInput(refused: (option: RentOption) => boolean): FleetInput | undefined;
+  scalingInput(refused: (option: InstanceOption) => boolean): ScalingInput | undefined;
   /** The cloud confirmed that the machine, and all on it, is gone. */
-  machineGone(machine: Machine): void;
+  onMachineTerminated(machine: Machine): void;
 }
 
 const PAUSE_MS = 700;
@@ -36,7 +42,7 @@
 const FEW_UP_RECORDS = 12;
 
 /** A rented machine that the state service does not know yet. */
-interface UnrecordedRental extends RentOption {
+interface UnrecordedMachine extends InstanceOption {
   readonly rentedAt: number;
   /** Its worker reports, so it is being recorded as up; see `UpRecords`. */
   isUp: boolean;
@@ -46,18 +52,18 @@
  * Rents and returns the shard's machines in three independent loops: a cloud that doesn't take machines back can still
  * rent, and a slow state service doesn't delay renting.
  */
-export class FleetManager {
-  readonly #refusedUntil = new Map<string, number>();
-  readonly #unrecorded = new Map<string, UnrecordedRental>();
+export class Autoscaler {
+  readonly #backoffUntil = new Map<string, number>();
+  readonly #unrecorded = new Map<string, UnrecordedMachine>();
   readonly #recordWake: WakeSignal;
   /** Returned machines whose records could not be deleted yet. */
-  readonly #gone = new Set<string>();
+  readonly #terminated = new Set<string>();
 
   constructor(
-    private readonly fleet: Fleet,
-    private readonly deps: NodeContext,
+    private readonly fleet: AutoscalerShard,
+    private readonly context: ControllerContext,
   ) {
-    this.#recordWake = new WakeSignal(deps.clock);
+    this.#recordWake = new WakeSignal(context.clock);
   }
 
   /** Whether the machine was rented here and has no record yet. */
@@ -74,7 +80,7 @@
   }
 
   /** What became of a record that was begun. */
-  endRecording(id: string, outcome: RecordOutcome): void {
+  endRecording(id: string, outcome: RegistrationOutcome): void {
     const rental = this.#unrecorded.get(id);
     if (rental) rental.isUp = false;
     // With a conflict it was adopted from the cloud's list.
@@ -82,88 +88,91 @@
   }
 
   /** One step of returning machines; to be run in a loop of its own. */
-  async returnStep(signal: AbortSignal): Promise<void> {
-    await this.deps.clock.sleep(PAUSE_MS, signal);
+  async scaleInStep(signal: AbortSignal): Promise<void> {
+    await this.context.clock.sleep(PAUSE_MS, signal);
     if (signal.aborted || !this.fleet.entitled) return;
     // Records are deleted last: that needs the state service, while the return of a machine may be what stops a
     // cancelled task in time.
-    await this.#release();
+    await this.#returnMachines();
     await this.#deleteRecords();
   }
 
   /** One step of renting; to be run in a loop. */
-  async rentStep(signal: AbortSignal): Promise<void> {
-    await this.deps.clock.sleep(PAUSE_MS, signal);
-    if (signal.aborted || !this.fleet.entitled || !this.deps.eventLoopDelay.allowsRenting) return;
-    const now = this.deps.clock.now();
-    const input = this.fleet.fleetInput((option) => (this.#refusedUntil.get(optionKey(option)) ?? 0) > now);
+  async scaleOutStep(signal: AbortSignal): Promise<void> {
+    await this.context.clock.sleep(PAUSE_MS, signal);
+    if (signal.aborted || !this.fleet.entitled || !this.context.eventLoopDelay.allowsScaleOut) return;
+    const now = this.context.clock.now();
+    const input = this.fleet.scalingInput((option) => (this.#backoffUntil.get(optionKey(option)) ?? 0) > now);
     if (!input) return;
     const unrecorded = [...this.#unrecorded].map(([id, { type, zone, spot }]) => {
       return { id, type, zone, spot, booting: true, ageMs: 0, idleMs: 0 };
     });
-    const plan = planFleet({ ...input, machines: [...input.machines, ...unrecorded] });
-    for (const id of plan.release) {
+    const plan = planScaling({ ...input, machines: [...input.machines, ...unrecorded] });
+    for (const id of plan.scaleIn) {
       const machine = this.fleet.machines.get(id);
-      if (machine) machine.leaving ??= 'idle';
+      if (machine) machine.drainReason ??= 'idle';
     }
-    for (const rental of plan.rent) {
+    for (const rental of plan.scaleOut) {
       if (signal.aborted || !this.fleet.entitled) return;
-      await this.#rent(rental, signal);
+      await this.#scaleOut(rental, signal);
     }
   }
 
-  async #release(): Promise<void> {
+  async #returnMachines(): Promise<void> {
     const leaving = [...this.fleet.machines.values()].filter(
-      (m) => m.leaving !== undefined && !this.#gone.has(m.id) && (!m.busy || m.leaving === 'silent'),
+      (m) =>
+        m.drainReason !== undefined &&
+        !this.#terminated.has(m.id) &&
+        (!m.isBusy || m.drainReason === 'unresponsive'),
     );
     if (leaving.length === 0) return;
     const batch = leaving.slice(0, MAX_MACHINES_PER_DELETE);
     // From here on the machine may disappear at any moment, whatever the cloud answers: it is never used again.
-    for (const machine of batch) machine.releasing = true;
-    await this.deps.cloud.deleteMachines(
+    for (const machine of batch) machine.isReturnRequested = true;
+    await this.context.cloud.deleteMachines(
       batch.map((m) => m.id),
       () => this.fleet.entitled,
     );
     for (const machine of batch) {
-      this.deps.log.info({ machine: machine.id, why: machine.leaving }, 'machine returned');
-      this.fleet.machineGone(machine);
-      this.#gone.add(machine.id);
+      this.context.log.info({ machine: machine.id, why: machine.drainReason }, 'machine returned');
+      this.fleet.onMachineTerminated(machine);
+      this.#terminated.add(machine.id);
     }
   }
 
   async #deleteRecords(): Promise<void> {
-    const { state } = this.deps.settings.platform.deployment;
-    const ids = [...this.#gone].slice(0, changesAtOnce(state, RECORDS_DELETED_AT_ONCE));
+    const { state } = this.context.settings.platform.deployment;
+    const ids = [...this.#terminated].slice(0, changesAtOnce(state, RECORDS_DELETED_AT_ONCE));
     if (ids.length === 0) return;
-    const result = await this.deps.store.compareAndSwap(
+    const result = await this.context.store.compareAndSwap(
       [this.fleet.leaseCondition()],
       ids.map((id) => ({ delete: KEY.machine(id) })),
     );
     if (!result.ok) return;
     for (const id of ids) {
-      this.#gone.delete(id);
-      this.deps.publish({ key: KEY.machine(id), version: result.revision, deleted: true });
+      this.#terminated.delete(id);
+      this.context.publish({ key: KEY.machine(id), version: result.revision, deleted: true });
     }
   }
 
   /** Rents in calls as large as the cloud takes, until it has no more. */
-  async #rent(rental: Rental, signal: AbortSignal): Promise<void> {
+  async #scaleOut(rental: ScaleOutRequest, signal: AbortSignal): Promise<void> {
     let left = rental.count;
     while (left > 0 && !signal.aborted && this.fleet.entitled) {
       const count = Math.min(left, MAX_MACHINES_PER_CREATE);
-      const rented = await this.#rentOnce(rental, count, signal);
+      const rented = await this.#createMachines(rental, count, signal);
       if (rented < count) {
-        this.#refuse(rental);
+        this.#backOff(rental);
         return;
       }
       left -= count;
     }
   }
 
-  async #rentOnce(rental: Rental, count: number, signal: AbortSignal): Promise<number> {
+  async #createMachines(rental: ScaleOutRequest, count: number, signal: AbortSignal): Promise<number> {
     // The key is random and used once, so that a retry can't rent twice.
     const request = {
-      idempotencyKey: this.deps.random.uniqueName(),
+      idempotencyKey: this.context.random.uniqueName(),
       type: rental.type.name,
       zone: rental.zone,
       spot: rental.spot,
@@ -171,29 +180,32 @@
     };
     for (let attempt = 1; attempt <= RENT_TRIES && !signal.aborted && this.fleet.entitled; attempt += 1) {
       try {
-        const ids = await this.deps.cloud.createMachines(request, () => this.fleet.entitled);
-        this.deps.log.info({ ...request, ids }, 'machines rented');
-        const rentedAt = this.deps.clock.date().getTime();
+        const ids = await this.context.cloud.createMachines(request, () => this.fleet.entitled);
+        this.context.log.info({ ...request, ids }, 'machines rented');
+        const rentedAt = this.context.clock.date().getTime();
         for (const id of ids) this.#unrecorded.set(id, { ...rental, rentedAt, isUp: false });
         this.#recordWake.wake();
         return ids.length;
       } catch (error) {
         if (error instanceof CloudRejectedError && error.noCapacity) return 0;
-        this.deps.log.info({ ...request, attempt, err: describeError(error) }, 'a rental was not answered');
-        await this.deps.clock.sleep(RETRY_MS, signal);
+        this.context.log.info(
+          { ...request, attempt, err: describeError(error) },
+          'a rental was not answered',
+        );
+        await this.context.clock.sleep(RETRY_MS, signal);
       }
     }
     // Given up. If the request is carried out after all, its machines appear in the cloud's list and are adopted.
     return 0;
   }
 
-  #recordOf({ type, zone, spot, rentedAt }: UnrecordedRental): MachineRecord {
+  #recordOf({ type, zone, spot, rentedAt }: UnrecordedMachine): MachineRecord {
     const { shard } = this.fleet;
     return { block: shard, address: '', type: type.name, zone, spot, up: false, rentedAt };
   }
 
-  #refuse(option: RentOption): void {
-    this.#refusedUntil.set(optionKey(option), this.deps.clock.now() + REFUSED_MS);
+  #backOff(option: InstanceOption): void {
+    this.#backoffUntil.set(optionKey(option), this.context.clock.now() + REFUSED_MS);
   }
 
   /**
@@ -204,15 +216,15 @@
     await this.#recordWake.wait(1000);
     while (!signal.aborted && this.fleet.entitled) {
       // Machines that are up wait for their records; of those that boot nobody asks yet.
-      if (this.fleet.awaitedUpRecords > FEW_UP_RECORDS) return;
-      const { state } = this.deps.settings.platform.deployment;
+      if (this.fleet.pendingRegistrations > FEW_UP_RECORDS) return;
+      const { state } = this.context.settings.platform.deployment;
       const batch = [...this.#unrecorded]
         .filter(([, rental]) => !rental.isUp)
         .slice(0, changesAtOnce(state, RECORDS_AT_ONCE));
       if (batch.length === 0) return;
       const changes = batch.map(([id, rental]) => ({ put: KEY.machine(id), value: this.#recordOf(rental) }));
       const conditions = changes.map((c) => ({ key: c.put, version: 0 }));
-      const result = await this.deps.store.compareAndSwap(
+      const result = await this.context.store.compareAndSwap(
         [this.fleet.leaseCondition(), ...conditions],
         changes,
       );
@@ -221,11 +233,11 @@
         if (result.ok || result.failed.includes(KEY.machine(id))) this.#unrecorded.delete(id);
       }
       if (!result.ok) {
-        await this.deps.clock.sleep(PAUSE_MS, signal);
+        await this.context.clock.sleep(PAUSE_MS, signal);
         continue;
       }
       for (const { put, value } of changes) {
-        this.deps.publish({ key: put, version: result.revision, value, deleted: false });
+        this.context.publish({ key: put, version: result.revision, value, deleted: false });
       }
     }
   }
--- a/src/coordination/fleet/cloud-view.ts
+++ b/src/coordination/autoscaling/cloud-inventory.ts
@@ -14,10 +14,10 @@
 const MEMORY_MS = 120_000;
 
 /** The cloud's list of machines. It lags and may go back, so it serves to find strays and failures, never an end. */
-export class CloudView {
+export class CloudInventory {
   #listed: ListedMachine[] = [];
   /** Machines whose records were deleted: a list that lags still names them. */
-  readonly #gone = new Map<string, number>();
+  readonly #deleted = new Map<string, number>();
 
   constructor(
     private readonly cloud: Cloud,
@@ -27,7 +27,7 @@
   watch(cache: WatchCache): void {
     cache.onChange((event) => {
       if (!event.deleted || !event.key.startsWith(PREFIX.machine)) return;
-      this.#gone.set(event.key.slice(PREFIX.machine.length), this.clock.now());
+      this.#deleted.set(event.key.slice(PREFIX.machine.length), this.clock.now());
     });
   }
 
@@ -35,14 +35,14 @@
     return this.#listed;
   }
 
-  isGone(id: string): boolean {
-    return this.#gone.has(id);
+  isDeleted(id: string): boolean {
+    return this.#deleted.has(id);
   }
 
   async step(signal: AbortSignal, needed: () => boolean): Promise<void> {
     if (needed()) this.#listed = await this.cloud.listMachines();
     const now = this.clock.now();
-    for (const [id, at] of this.#gone) if (now - at > MEMORY_MS) this.#gone.delete(id);
+    for (const [id, at] of this.#deleted) if (now - at > MEMORY_MS) this.#deleted.delete(id);
     const pages = Math.ceil(this.#listed.length / MACHINES_PER_PAGE);
     await this.clock.sleep(Math.max(POLL_MS, pages * MS_PER_PAGE), signal);
   }
--- a/src/coordination/fleet/fleet.ts
+++ b/src/coordination/autoscaling/scaling-plan.ts
@@ -1,6 +1,6 @@
 /** @file Plans which machines to rent for waiting work and which idle ones to return. */
 import { subtractResources, type Job, type MachineType, type Resources } from '../../protocol/model';
-import { fits, mayUse, zoneAllows } from '../scheduling/placement';
+import { fitsInto, isEligible, zoneConstraintsAllow } from '../scheduling/placement';
 
 /** A machine of the fleet, as far as renting and returning need to know it. */
 export interface FleetMachine {
@@ -16,14 +16,14 @@
 }
 
 /** A kind of machine that can be rented in a zone. */
-export interface RentOption {
+export interface InstanceOption {
   type: MachineType;
   zone: string;
   spot: boolean;
 }
 
 /** So many machines of one kind to rent. */
-export interface Rental extends RentOption {
+export interface ScaleOutRequest extends InstanceOption {
   count: number;
 }
 
@@ -39,31 +39,31 @@
 }
 
 /** A snapshot of the waiting work and of the fleet. */
-export interface FleetInput {
+export interface ScalingInput {
   /** Tasks that found no room, in order. */
   readonly unplaced: readonly UnplacedWork[];
   readonly machines: readonly FleetMachine[];
   readonly types: readonly MachineType[];
   /** Whether the cloud refused this option lately. */
-  readonly refused: (option: RentOption) => boolean;
+  readonly isBackedOff: (option: InstanceOption) => boolean;
   /** CPUs that running work will free before a new machine could be up. */
   readonly freeingCpus: number;
   readonly idleReleaseMs: number;
   /** Whether all that waits may be placed: before, empty machines are waiting for it. */
-  readonly allMayStart: boolean;
+  readonly mayAllStart: boolean;
   /** Idle CPUs to keep for work that should start at once. */
   readonly warmCpus: number;
   readonly freeCpus: number;
 }
 
 /** What to rent, and the ids of the machines to return. */
-export interface FleetPlan {
-  rent: Rental[];
-  release: string[];
+export interface ScalingPlan {
+  scaleOut: ScaleOutRequest[];
+  scaleIn: string[];
 }
 
 /** A machine costs at least this long, so an earlier release saves nothing. */
-const LEAST_CHARGE_MS = 60_000;
+const MIN_CHARGE_MS = 60_000;
 /** Work that may run on spot machines waits for one while its slack is longer than this many boots. */
 const PATIENCE_IN_BOOTS = 1.5;
 /** How much dearer a zone counts for each machine that is there already, as a share of the price. */
@@ -71,7 +71,7 @@
 const EPSILON = 1e-6;
 
 /** A string that is the same for equal options. */
-export function optionKey(option: RentOption): string {
+export function optionKey(option: InstanceOption): string {
   return `${option.type.name}|${option.zone}|${option.spot ? 'spot' : 'ordinary'}`;
 }
 
@@ -87,15 +87,15 @@
 }
 
 /** Chooses machines to rent for the backlog that the present ones won't absorb, and idle ones to return. */
-export function planFleet(input: FleetInput): FleetPlan {
-  const planner = new RentalPlanner(input);
+export function planScaling(input: ScalingInput): ScalingPlan {
+  const planner = new ScaleOutPlanner(input);
   for (const work of input.unplaced) planner.add(work);
-  return { rent: planner.rentals(), release: input.allMayStart ? chooseReleases(input) : [] };
+  return { scaleOut: planner.requests(), scaleIn: input.mayAllStart ? chooseScaleIn(input) : [] };
 }
 
 /** A machine that boots or is to be rented, with the room that is left there. */
 interface Bin {
-  readonly option: RentOption;
+  readonly option: InstanceOption;
   readonly room: Resources;
   readonly isNew: boolean;
 }
@@ -103,13 +103,13 @@
 type ZoneCounts = Map<string, number>;
 
 /** Fills waiting work into machines that are booting, and into new ones where it needs them. */
-class RentalPlanner {
-  readonly #options: readonly RentOption[];
+class ScaleOutPlanner {
+  readonly #options: readonly InstanceOption[];
   readonly #bins: Bin[];
   readonly #machinesPerZone: ZoneCounts = new Map();
   #freeingCpus: number;
 
-  constructor(private readonly input: FleetInput) {
+  constructor(private readonly input: ScalingInput) {
     this.#options = input.types.flatMap((type) =>
       type.zones.flatMap((zone) => [true, false].map((spot) => ({ type, zone, spot }))),
     );
@@ -130,7 +130,7 @@
     let at = 0;
     while (left > 0) {
       at = this.#nextBin(job, zones, at);
-      const bin = this.#bins[at] ?? this.#rent(work, left, zones);
+      const bin = this.#bins[at] ?? this.#addMachine(work, left, zones);
       if (!bin) break;
       subtractResources(bin.room, job);
       increment(zones, bin.option.zone);
@@ -139,8 +139,8 @@
   }
 
   /** The machines to rent, by option. */
-  rentals(): Rental[] {
-    const rentals = new Map<string, Rental>();
+  requests(): ScaleOutRequest[] {
+    const rentals = new Map<string, ScaleOutRequest>();
     for (const { option, isNew } of this.#bins) {
       if (!isNew) continue;
       const key = optionKey(option);
@@ -166,7 +166,8 @@
    */
   #mayUseAny(job: Job, zones: ZoneCounts): boolean {
     return this.input.machines.some(
-      (machine) => !machine.booting && mayUse(job, machine) && zoneAllows(job, zones, machine.zone),
+      (machine) =>
+        !machine.booting && isEligible(job, machine) && zoneConstraintsAllow(job, zones, machine.zone),
     );
   }
 
@@ -175,15 +176,15 @@
     let next = at;
     for (; next < this.#bins.length; next += 1) {
       const bin = this.#bins[next];
-      if (!bin || !mayUse(job, bin.option)) continue;
-      if (zoneAllows(job, zones, bin.option.zone) && fits(job, bin.room)) break;
+      if (!bin || !isEligible(job, bin.option)) continue;
+      if (zoneConstraintsAllow(job, zones, bin.option.zone) && fitsInto(job, bin.room)) break;
     }
     return next;
   }
 
-  #rent({ job, slackMs }: UnplacedWork, tasks: number, zones: ZoneCounts): Bin | undefined {
+  #addMachine({ job, slackMs }: UnplacedWork, tasks: number, zones: ZoneCounts): Bin | undefined {
     const work = { job, tasks, slackMs, zones };
-    const option = cheapest(work, this.#options, this.input.refused, this.#machinesPerZone);
+    const option = cheapest(work, this.#options, this.input.isBackedOff, this.#machinesPerZone);
     if (!option) return undefined;
     increment(this.#machinesPerZone, option.zone);
     const bin = { option, room: emptyRoom(option.type), isNew: true };
@@ -203,16 +204,22 @@
 /** The cheapest option for tasks of the work; undefined when none fits, or the cloud refused all of them lately. */
 function cheapest(
   work: { job: Job; tasks: number; slackMs: number; zones: ReadonlyMap<string, number> },
-  options: readonly RentOption[],
-  refused: (option: RentOption) => boolean,
+  options: readonly InstanceOption[],
+  refused: (option: InstanceOption) => boolean,
   perZone: ReadonlyMap<string, number>,
-): RentOption | undefined {
+): InstanceOption | undefined {
   const { job, tasks, slackMs, zones } = work;
-  let best: RentOption | undefined;
+  let best: InstanceOption | undefined;
   let bestCost = Infinity;
   for (const option of options) {
     const fit = capacity(option.type, job);
-    if (fit < 1 || !mayUse(job, option) || !zoneAllows(job, zones, option.zone) || refused(option)) continue;
+    if (
+      fit < 1 ||
+      !isEligible(job, option) ||
+      !zoneConstraintsAllow(job, zones, option.zone) ||
+      refused(option)
+    )
+      continue;
     // Ordinary machines cost a multiple: work that can wait for spot ones to come free does.
     if (!option.spot && job.spot && slackMs > option.type.bootS * 1000 * PATIENCE_IN_BOOTS) continue;
     const price = option.spot ? option.type.spotPrice : option.type.price;
@@ -227,9 +234,9 @@
 }
 
 /** The machines that were idle for long enough, dearest first, as far as enough room stays free. */
-function chooseReleases(input: FleetInput): string[] {
+function chooseScaleIn(input: ScalingInput): string[] {
   const idle = input.machines.filter(
-    (m) => !m.booting && m.idleMs >= input.idleReleaseMs && m.ageMs >= LEAST_CHARGE_MS,
+    (m) => !m.booting && m.idleMs >= input.idleReleaseMs && m.ageMs >= MIN_CHARGE_MS,
   );
   const price = (m: FleetMachine): number => (m.spot ? m.type.spotPrice : m.type.price) / m.type.cpus;
   idle.sort((a, b) => price(b) - price(a) || b.idleMs - a.idleMs);
--- a/src/coordination/node-context.ts
+++ b/src/coordination/controller-context.ts
@@ -13,13 +13,13 @@
 import type { ChainUrgency } from './scheduling/chain-urgency';
 import type { Cloud } from '../protocol/cloud';
 import type { MachineType } from '../protocol/model';
-import type { ChangeEvent, KeyValueStore } from '../protocol/state';
+import type { ChangeEvent, KeyValueStore } from '../protocol/key-value-store';
 import type { Suspicion } from '../suspicion/suspicion';
 import type { HttpCaller } from '../transport/http-client';
 
 /** Shared services of one node. Clock, randomness and all input and output are injected here. */
-export interface NodeContext {
-  readonly node: string;
+export interface ControllerContext {
+  readonly controllerId: string;
   readonly settings: Settings;
   readonly clock: Clock;
   readonly random: Random;
@@ -31,7 +31,7 @@
   readonly formatGate: FormatGate;
   readonly session: Session;
   readonly jobs: JobStore;
-  readonly ended: EndedJobs;
+  readonly endedJobs: EndedJobs;
   readonly dependencies: DependencyTracker;
   readonly chainUrgency: ChainUrgency;
   /** Undefined: suspicion is off here. */
--- a/src/coordination/node-services.ts
+++ b/src/coordination/controller-services.ts
@@ -18,13 +18,13 @@
 import { WatchCache } from '../bookkeeping/watch-cache';
 import { Cloud } from '../protocol/cloud';
 import { writePeerMessage } from '../protocol/peers';
-import { HttpKeyValueStore, type ChangeEvent, type KeyValueStore } from '../protocol/state';
+import { HttpKeyValueStore, type ChangeEvent, type KeyValueStore } from '../protocol/key-value-store';
 import { readSuspicionOptions } from '../suspicion/options';
 import { Suspicion } from '../suspicion/suspicion';
 import { RateLimit } from '../transport/rate-limit';
 import type { Environment } from './environment';
 import { MachineTypes } from './machine-types';
-import type { NodeContext } from './node-context';
+import type { ControllerContext } from './controller-context';
 import { ChainUrgency } from './scheduling/chain-urgency';
 
 const STATE_TIMEOUT_MS = 1_500;
@@ -38,8 +38,8 @@
 const WATCHES_PER_LEASE = 5;
 
 /** The services of one node: its context, and what only the node itself uses. */
-export interface NodeServices {
-  readonly context: NodeContext;
+export interface ControllerServices {
+  readonly context: ControllerContext;
   readonly machineTypes: MachineTypes;
   readonly dependentCancellation: DependentCancellation;
   /** Undefined: admission is off here. */
@@ -93,7 +93,7 @@
 ): { ended: EndedJobs; dependencies: DependencyTracker } {
   // It hears of an end before the graph forgets the job.
   const ended = new EndedJobs(cache, clock, platform.deployment.workers.cancel_s, (id) =>
-    dependencies.graph.isCondemned(id),
+    dependencies.graph.isCancellationPending(id),
   );
   const dependencies = new DependencyTracker(cache, finals, clock);
   return { ended, dependencies };
@@ -119,11 +119,11 @@
 }
 
 /** Puts the services together; `store` stands in for the state service's client where one is given. */
-export function createNodeServices(
+export function createControllerServices(
   settings: Settings,
   environment: Environment,
   store: KeyValueStore = createStateStore(settings, environment),
-): NodeServices {
+): ControllerServices {
   const { clock, log, workers, random } = environment;
   const { platform, shardLeaseMs, throttling } = settings;
   const { node } = platform;
@@ -141,8 +141,8 @@
   const jobs = createJobStore(settings, admission, { ...records, finals, formatGate, log });
   const cloud = createCloud(settings, environment);
   const machineTypes = new MachineTypes({ settings, clock, cache, store, formatGate, cloud });
-  const context: NodeContext = {
-    node,
+  const context: ControllerContext = {
+    controllerId: node,
     settings,
     clock,
     random,
@@ -153,7 +153,7 @@
     formatGate,
     session,
     jobs,
-    ended,
+    endedJobs: ended,
     dependencies,
     chainUrgency: new ChainUrgency(dependencies.graph, cache),
     cloud,
--- a/src/coordination/node.ts
+++ b/src/coordination/controller.ts
@@ -11,23 +11,23 @@
 import { isTypesKey } from '../bookkeeping/type-records';
 import type { JobStatus, MachineType, WorkerHeartbeat } from '../protocol/model';
 import { readPeerMessage, writePeerMessage, type PeerMessage } from '../protocol/peers';
-import type { ChangeEvent, KeyValueStore } from '../protocol/state';
+import type { ChangeEvent, KeyValueStore } from '../protocol/key-value-store';
 import { FixedTimeout } from '../suspicion/peer-liveness';
 import { areMostUnreachable, PeerReachability } from '../suspicion/peer-reachability';
 import type { PeersReport } from '../suspicion/peers-report';
 import type { OwnerResponse } from './shard/owner-response';
 import type { ShardOwner } from './shard/shard-owner';
 import type { Environment } from './environment';
-import { CloudView } from './fleet/cloud-view';
+import { CloudInventory } from './autoscaling/cloud-inventory';
 import { JobProgressTable } from './job-progress';
 import type { MachineTypes } from './machine-types';
-import type { NodeContext } from './node-context';
-import { createNodeServices, type NodeServices } from './node-services';
+import type { ControllerContext } from './controller-context';
+import { createControllerServices, type ControllerServices } from './controller-services';
 import { ShardAcquisition } from './ownership/shard-acquisition';
 import { Leader } from './ownership/leader';
 import { LeaseExtension } from './ownership/lease-extension';
 import { LeaseRelay } from './ownership/lease-relay';
-import { heartbeatMessages } from './ownership/progress-messages';
+import { heartbeatMessages } from './ownership/heartbeat-messages';
 
 const LEADER_PAUSE_MS = 1_000;
 const OWNER_PAUSE_MS = 500;
@@ -54,17 +54,17 @@
 }
 
 /** What a node answers a worker's report. */
-export type HeartbeatResponse = OwnerResponse | { kind: 'elsewhere'; owner: string | undefined };
+export type HeartbeatResponse = OwnerResponse | { kind: 'redirect'; owner: string | undefined };
 
 /** One controller: its copy of the records, its lease, and the shards that it owns. */
-export class Node {
+export class Controller {
   readonly jobs: JobStore;
-  readonly #context: NodeContext;
+  readonly #context: ControllerContext;
   readonly #machineTypes: MachineTypes;
-  readonly #dependentCancellation: NodeServices['dependentCancellation'];
+  readonly #dependentCancellation: ControllerServices['dependentCancellation'];
   readonly #leader: Leader;
   readonly #epochWriter: EpochWriter;
-  readonly #cloudView: CloudView;
+  readonly #cloudInventory: CloudInventory;
   readonly #leaseExtension: LeaseExtension;
   readonly #reachability: PeerReachability;
   readonly #leaseRelay: LeaseRelay;
@@ -79,7 +79,7 @@
     private readonly environment: Environment,
     store?: KeyValueStore,
   ) {
-    const services = createNodeServices(settings, environment, store);
+    const services = createControllerServices(settings, environment, store);
     const { context } = services;
     const { clock, cache } = context;
     this.#context = context;
@@ -89,8 +89,8 @@
     this.#progress = new JobProgressTable(cache);
     const liveness = context.suspicion ?? new FixedTimeout(clock);
     this.#reachability = new PeerReachability(clock, liveness);
-    this.#cloudView = new CloudView(context.cloud, clock);
-    this.#leader = new Leader(context, this.#cloudView, () => !this.#leaseExtension.mayAcquireShards);
+    this.#cloudInventory = new CloudInventory(context.cloud, clock);
+    this.#leader = new Leader(context, this.#cloudInventory, () => !this.#leaseExtension.mayAcquireShards);
     this.#epochWriter = this.#createEpochWriter(services);
     this.#leaseExtension = new LeaseExtension(
       context,
@@ -105,15 +105,15 @@
     this.#leaderWake = new WakeSignal(clock);
     this.#ownerWake = new WakeSignal(clock);
     context.dependencies.onReady(() => {
-      for (const owner of this.owners.values()) owner.jobsReady();
+      for (const owner of this.owners.values()) owner.onJobsReady();
     });
-    this.#cloudView.watch(cache);
+    this.#cloudInventory.watch(cache);
     cache.onChange((event) => {
       this.#onChange(event);
     });
   }
 
-  #createEpochWriter({ context, admission }: NodeServices): EpochWriter {
+  #createEpochWriter({ context, admission }: ControllerServices): EpochWriter {
     const { dependencies, settings } = context;
     const { state, teams } = settings.platform.deployment;
     return new EpochWriter(
@@ -123,7 +123,7 @@
         progressOf: (id) => this.#progress.get(id),
         waitsForJobs: (id) => dependencies.graph.has(id) && !dependencies.isReady(id),
         teamLimit: (team) => teams.find(({ name }) => name === team)?.cpus_max ?? 0,
-        leadership: () => this.#leader.leadership(),
+        leadership: () => this.#leader.leadershipCondition(),
       },
       admission,
     );
@@ -174,7 +174,7 @@
   }
 
   /** Whether it knows enough to answer anybody. */
-  get informed(): boolean {
+  get isInitialized(): boolean {
     return this.#context.cache.loaded && this.types.length > 0;
   }
 
@@ -182,7 +182,7 @@
     return this.#acquisition.owners;
   }
 
-  get #fresh(): boolean {
+  get #isViewFresh(): boolean {
     return this.environment.clock.now() - this.#context.cache.freshAt < FRESH_FOR_MS;
   }
 
@@ -190,9 +190,9 @@
    * Whether users are well served here. A node that alone lost the state service sends them elsewhere; when all have
    * lost it, going elsewhere would not help. One that hears nothing of the others either is likely cut off itself.
    */
-  get ready(): boolean {
-    if (!this.informed) return false;
-    if (this.#fresh || this.settings.platform.others.length === 0) return true;
+  get isReady(): boolean {
+    if (!this.isInitialized) return false;
+    if (this.#isViewFresh || this.settings.platform.others.length === 0) return true;
     if (this.environment.clock.now() - this.#reachability.heardAt > PEER_MEMORY_MS) return false;
     // In an outage all lose it, though not all notice at the same moment: each removal by the load balancer makes the
     // next return slower, so only peers that go on reaching it for longer count.
@@ -215,9 +215,9 @@
   async cancel(id: string): Promise<JobStatus | undefined> {
     const { clock, log, dependencies } = this.#context;
     const status = await this.jobs.cancel(id, this.#progress.get(id)?.done ?? 0);
-    if (status?.state !== 'cancelled' || dependencies.graph.condemned.size === 0) return status;
+    if (status?.state !== 'cancelled' || dependencies.graph.pendingCancellations.size === 0) return status;
     const until = clock.now() + CANCEL_DEPENDENTS_MS;
-    await this.#dependentCancellation.cancelCondemned(until).catch((error: unknown) => {
+    await this.#dependentCancellation.cancelPending(until).catch((error: unknown) => {
       log.info({ job: id, err: describeError(error) }, 'dependents are still to be cancelled');
     });
     return status;
@@ -226,25 +226,25 @@
   onHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatResponse | Promise<HeartbeatResponse> {
     if (!this.#context.cache.loaded) return { kind: 'undecided' };
     for (const owner of this.owners.values()) {
-      if (owner.stopped || !owner.has(heartbeat.machine)) continue;
+      if (owner.stopped || !owner.ownsMachine(heartbeat.machine)) continue;
       return owner.onHeartbeat(heartbeat);
     }
     return this.#answerForOtherOwner(heartbeat);
   }
 
   #answerForOtherOwner(heartbeat: WorkerHeartbeat): HeartbeatResponse {
-    const { cache, node } = this.#context;
+    const { cache, controllerId } = this.#context;
     const record = read.machine(cache.get(KEY.machine(heartbeat.machine))?.value);
     // The leader takes it in when the cloud lists it; until then nobody answers for it.
     if (!record) return { kind: 'undecided' };
     const lease = read.lease(cache.get(KEY.lease(record.block))?.value);
-    if (!lease || lease.owner === node) return { kind: 'undecided' };
+    if (!lease || lease.owner === controllerId) return { kind: 'undecided' };
     this.#reachability.recordRedirect(heartbeat.machine, record.block);
-    const relayed = record.up ? this.#leaseRelay.answer(heartbeat, record.block) : undefined;
+    const relayed = record.up ? this.#leaseRelay.respond(heartbeat, record.block) : undefined;
     if (relayed) return { kind: 'accepted', ...relayed };
     // Sent back to an owner that is cut off, a worker would spend its lease waiting for it.
     const owner = this.#reachability.reaches(lease.owner, record.block) ? lease.owner : undefined;
-    return { kind: 'elsewhere', owner };
+    return { kind: 'redirect', owner };
   }
 
   onPeerFrame(bytes: Uint8Array): void {
@@ -300,9 +300,9 @@
   }
 
   async #listCloud(signal: AbortSignal): Promise<void> {
-    await this.#cloudView.step(signal, () => this.#leader.isLeader || this.owners.size > 0);
-    for (const m of this.#cloudView.machines()) {
-      if (m.state === 'failed') for (const owner of this.owners.values()) owner.machineFailed(m.id);
+    await this.#cloudInventory.step(signal, () => this.#leader.isLeader || this.owners.size > 0);
+    for (const m of this.#cloudInventory.machines()) {
+      if (m.state === 'failed') for (const owner of this.owners.values()) owner.onMachineFailed(m.id);
     }
   }
 
@@ -311,13 +311,13 @@
     const jobs = owners.flatMap((owner) => (owner.entitled ? owner.progress() : []));
     this.#progress.update(jobs);
     const unreachable = owners.filter((owner) => {
-      const { machines, unheard } = owner.hearing();
+      const { machines, unheard } = owner.workerReachability();
       return areMostUnreachable(machines, unheard);
     });
-    const { suspicion, node } = this.#context;
+    const { suspicion, controllerId } = this.#context;
     const state = {
-      from: node,
-      isViewFresh: this.#fresh,
+      from: controllerId,
+      isViewFresh: this.#isViewFresh,
       unreachableShards: unreachable.map((owner) => owner.shard),
       redirected: this.#reachability.redirected(),
       ...(suspicion && { view: suspicion.view() }),
--- a/src/coordination/machine-types.ts
+++ b/src/coordination/machine-types.ts
@@ -7,7 +7,7 @@
 import type { WatchCache } from '../bookkeeping/watch-cache';
 import type { Cloud } from '../protocol/cloud';
 import type { MachineType } from '../protocol/model';
-import type { KeyValueStore } from '../protocol/state';
+import type { KeyValueStore } from '../protocol/key-value-store';
 
 const REFRESH_MS = 60_000;
 const NOT_LOADED_PAUSE_MS = 20;
--- a/src/coordination/ownership/token.ts
+++ b/src/coordination/ownership/fencing-token-raiser.ts
@@ -1,6 +1,6 @@
 import { KEY, read } from '../../bookkeeping/records';
 import type { Shard } from '../shard/shard';
-import type { NodeContext } from '../node-context';
+import type { ControllerContext } from '../controller-context';
 import { fencingTokenOf } from '../shard/machine';
 
 const LOOK_MS = 250;
@@ -14,17 +14,17 @@
 
   constructor(
     private readonly shard: Shard,
-    private readonly deps: NodeContext,
+    private readonly context: ControllerContext,
   ) {
-    this.#raisedAt = deps.clock.now();
+    this.#raisedAt = context.clock.now();
   }
 
   /** One step; to be run in a loop of its own, so that no round waits for the state service. */
   async step(signal: AbortSignal): Promise<void> {
-    await this.deps.clock.sleep(LOOK_MS, signal);
-    const now = this.deps.clock.now();
+    await this.context.clock.sleep(LOOK_MS, signal);
+    const now = this.context.clock.now();
     if (signal.aborted || !this.shard.entitled || !this.#isNeeded(now - this.#raisedAt)) return;
-    const { cache, store, session } = this.deps;
+    const { cache, store, session } = this.context;
     const { shard } = this;
     const next = (read.fencingToken(cache.get(KEY.fencingToken)?.value)?.next ?? 0) + 1;
     if (session.lease === undefined || next <= shard.fencingToken) return;
@@ -34,7 +34,7 @@
         { put: KEY.fencingToken, value: { next } },
         {
           put: KEY.lease(shard.number),
-          value: { owner: this.deps.node, token: next },
+          value: { owner: this.context.controllerId, token: next },
           lease: session.lease,
         },
       ],
@@ -43,7 +43,7 @@
       shard.fencingToken = next;
       shard.leaseVersion = result.revision;
       this.#raisedAt = now;
-      this.deps.log.debug({ shard: shard.number, token: next }, 'token raised');
+      this.context.log.debug({ shard: shard.number, token: next }, 'token raised');
     }
   }
 
@@ -51,17 +51,17 @@
     if (sinceMs < RAISE_IN_DOUBT_MS) return false;
     // Nearly always there is nothing to find: walking over all attempts of a thousand machines four times a second took a
     // twentieth of the owner's time (docs/PERFORMANCE.md).
-    if (!this.shard.startsInDoubt && sinceMs < RAISE_TO_FORGET_MS) return false;
+    if (!this.shard.hasUnconfirmedStarts && sinceMs < RAISE_TO_FORGET_MS) return false;
     const inDoubt = this.#find(sinceMs);
-    if (!inDoubt) this.shard.startsInDoubt = false;
+    if (!inDoubt) this.shard.hasUnconfirmedStarts = false;
     return inDoubt;
   }
 
   #find(sinceMs: number): boolean {
     for (const machine of this.shard.machines.values()) {
       for (const a of machine.attempts.values()) {
-        if (fencingTokenOf(a.attempt) < this.shard.fencingToken || a.inFlight || !a.posted) continue;
-        if (a.phase === 'sent' || (a.phase === 'exited' && sinceMs >= RAISE_TO_FORGET_MS)) return true;
+        if (fencingTokenOf(a.number) < this.shard.fencingToken || a.isStartInFlight || !a.wasSent) continue;
+        if (a.phase === 'starting' || (a.phase === 'exited' && sinceMs >= RAISE_TO_FORGET_MS)) return true;
       }
     }
     return false;
--- a/src/coordination/ownership/leader.ts
+++ b/src/coordination/ownership/leader.ts
@@ -1,67 +1,72 @@
 import { changesAtOnce } from '../../base/state-limits';
 import { shardCount } from '../../bookkeeping/shard-count';
 import { KEY, PREFIX, read, type MachineRecord, type ShardRecord } from '../../bookkeeping/records';
-import type { Condition } from '../../protocol/state';
-import { liveNodes, rankOwners } from './contenders';
-import { RecordSweep } from './record-sweep';
-import type { CloudView } from '../fleet/cloud-view';
-import type { NodeContext } from '../node-context';
+import type { Condition } from '../../protocol/key-value-store';
+import { liveControllers, rankOwners } from './owner-candidates';
+import { RecordGarbageCollector } from './record-garbage-collector';
+import type { CloudInventory } from '../autoscaling/cloud-inventory';
+import type { ControllerContext } from '../controller-context';
 
-const STRAY_AGE_S = 5;
-const STRAYS_AT_ONCE = 10;
-const SWEPT_AT_ONCE = 8;
+const ADOPTION_AGE_S = 5;
+const MAX_ADOPTIONS = 10;
+const MAX_DELETIONS = 8;
 
 /**
  * The leader leases shards to live nodes, takes machines that no record names into a shard, and deletes completions of
  * jobs that are over. It does no more.
  */
 export class Leader {
-  readonly #recordSweep: RecordSweep;
+  readonly #recordSweep: RecordGarbageCollector;
 
   constructor(
-    private readonly deps: NodeContext,
-    private readonly cloud: CloudView,
+    private readonly context: ControllerContext,
+    private readonly cloud: CloudInventory,
     /** Whether this process began so lately that it may still be bound by a promise. */
-    private readonly isYoung: () => boolean,
+    private readonly mayBeBoundByGrant: () => boolean,
   ) {
-    this.#recordSweep = new RecordSweep(deps.cache, deps.clock);
+    this.#recordSweep = new RecordGarbageCollector(context.cache, context.clock);
   }
 
   get isLeader(): boolean {
-    const { cache, node, session } = this.deps;
-    return session.valid && read.leader(cache.get(KEY.leader)?.value)?.node === node;
+    const { cache, controllerId, session } = this.context;
+    return session.valid && read.leader(cache.get(KEY.leader)?.value)?.node === controllerId;
   }
 
   /** One step; to be run in a loop, and whenever membership changes. */
   async step(): Promise<void> {
-    const { cache, store, session, node, log } = this.deps;
+    const { cache, store, session, controllerId, log } = this.context;
     if (!cache.loaded || !session.valid || session.lease === undefined) return;
     if (!cache.get(KEY.leader)) {
       const result = await store.compareAndSwap(
         [{ key: KEY.leader, version: 0 }],
-        [{ put: KEY.leader, value: { node }, lease: session.lease }],
+        [{ put: KEY.leader, value: { node: controllerId }, lease: session.lease }],
         true,
       );
       if (result.ok) {
-        log.info({ node }, 'this node leads');
-        cache.offer({ key: KEY.leader, version: result.revision, value: { node }, deleted: false });
+        log.info({ node: controllerId }, 'this node leads');
+        cache.offer({
+          key: KEY.leader,
+          version: result.revision,
+          value: { node: controllerId },
+          deleted: false,
+        });
       }
     }
     if (!this.isLeader) return;
-    await this.#assign();
-    await this.#takeStrays();
-    await this.#sweep();
+    await this.#assignShards();
+    await this.#adoptUnrecordedMachines();
+    await this.#collectGarbage();
   }
 
-  async #assign(): Promise<void> {
-    const { cache, settings } = this.deps;
-    const load = new Map(liveNodes(this.deps).map((node) => [node, 0]));
+  async #assignShards(): Promise<void> {
+    const { cache, settings } = this.context;
+    const load = new Map(liveControllers(this.context).map((node) => [node, 0]));
     if (load.size === 0) return;
     const orphans: number[] = [];
     for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
       const record = read.shard(cache.get(KEY.shard(shard))?.value);
-      if (record && this.#wantsBack(record, shard, load)) {
-        await this.#give(shard, record.holder);
+      if (record && this.#shouldReturnToHolder(record, shard, load)) {
+        await this.#assignShard(shard, record.holder);
         return;
       }
       const held = record && load.get(record.owner);
@@ -69,13 +74,13 @@
       else orphans.push(shard);
     }
     for (const shard of orphans) {
-      const [owner] = rankOwners(this.deps, shard, load);
+      const [owner] = rankOwners(this.context, shard, load);
       if (owner === undefined) return;
       const isThere = read.shard(cache.get(KEY.shard(shard))?.value)?.owner === owner;
-      if (!isThere && !(await this.#give(shard, owner))) return;
+      if (!isThere && !(await this.#assignShard(shard, owner))) return;
       load.set(owner, (load.get(owner) ?? 0) + 1);
     }
-    await this.#balance(load);
+    await this.#rebalance(load);
   }
 
   /**
@@ -83,26 +88,27 @@
    * chosen at once, since nobody holds the lease: whichever acquires it first finds the record unchanged, or doesn't.
    */
   #isStuck(shard: number, { owner }: ShardRecord): boolean {
-    const { suspicion, cache, node } = this.deps;
-    if (!suspicion || owner === node || cache.get(KEY.lease(shard))) return false;
+    const { suspicion, cache, controllerId } = this.context;
+    if (!suspicion || owner === controllerId || cache.get(KEY.lease(shard))) return false;
     return suspicion.isSuspect(owner) && suspicion.mayChooseAgain();
   }
 
   /** After the end of all nodes the one that held the shard last may take it at once; the others wait a while. */
-  #wantsBack(
+  #shouldReturnToHolder(
     record: ShardRecord,
     shard: number,
     nodes: ReadonlyMap<string, number>,
   ): record is ShardRecord & { holder: string } {
     const { owner, holder } = record;
-    if (!this.isYoung() || holder === undefined || holder === owner || !nodes.has(holder)) return false;
-    if (this.deps.suspicion?.isSuspect(holder)) return false;
-    return this.deps.cache.get(KEY.lease(shard)) === undefined;
+    if (!this.mayBeBoundByGrant() || holder === undefined || holder === owner || !nodes.has(holder))
+      return false;
+    if (this.context.suspicion?.isSuspect(holder)) return false;
+    return this.context.cache.get(KEY.lease(shard)) === undefined;
   }
 
   /** After a death some node has more shards than another that came back: one at a time, they are spread again. */
-  async #balance(load: ReadonlyMap<string, number>): Promise<void> {
-    const { cache, settings, suspicion } = this.deps;
+  async #rebalance(load: ReadonlyMap<string, number>): Promise<void> {
+    const { cache, settings, suspicion } = this.context;
     const sorted = [...load].sort((a, b) => a[1] - b[1]);
     const least = sorted.find(([node]) => !suspicion?.isSuspect(node));
     const most = sorted.at(-1);
@@ -110,7 +116,7 @@
     for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
       if (read.shard(cache.get(KEY.shard(shard))?.value)?.owner !== most[0]) continue;
       if (suspicion?.mayMove(shard) === false) continue;
-      await this.#give(shard, least[0]);
+      await this.#assignShard(shard, least[0]);
       return;
     }
   }
@@ -119,13 +125,13 @@
    * The condition that proves, inside a transaction, that this node still leads; undefined when it knows that it doesn't.
    * Between two writes of one step another may have become the leader, and its record's version would prove nothing.
    */
-  leadership(): Condition | undefined {
-    return this.isLeader ? { key: KEY.leader, version: this.deps.cache.version(KEY.leader) } : undefined;
+  leadershipCondition(): Condition | undefined {
+    return this.isLeader ? { key: KEY.leader, version: this.context.cache.version(KEY.leader) } : undefined;
   }
 
-  async #give(shard: number, owner: string): Promise<boolean> {
-    const { cache, store, settings, log } = this.deps;
-    const leadership = this.leadership();
+  async #assignShard(shard: number, owner: string): Promise<boolean> {
+    const { cache, store, settings, log } = this.context;
+    const leadership = this.leadershipCondition();
     if (!leadership) return false;
     const { teams } = settings.platform.deployment;
     const shards = shardCount(cache, settings);
@@ -143,19 +149,19 @@
     );
     if (!result.ok) return false;
     log.info({ shard, owner }, 'shard assigned');
-    this.deps.publish({ key, version: result.revision, value, deleted: false });
+    this.context.publish({ key, version: result.revision, value, deleted: false });
     return true;
   }
 
   /** A rental whose answer was lost, or that was carried out late, shows up here only. */
-  async #takeStrays(): Promise<void> {
-    const { cache, store, settings, log, clock } = this.deps;
+  async #adoptUnrecordedMachines(): Promise<void> {
+    const { cache, store, settings, log, clock } = this.context;
     const strays = this.cloud
       .machines()
-      .filter((m) => m.state !== 'failed' && m.ageS > STRAY_AGE_S && !cache.get(KEY.machine(m.id)))
-      .filter((m) => !this.cloud.isGone(m.id))
-      .slice(0, changesAtOnce(settings.platform.deployment.state, STRAYS_AT_ONCE));
-    const leadership = this.leadership();
+      .filter((m) => m.state !== 'failed' && m.ageS > ADOPTION_AGE_S && !cache.get(KEY.machine(m.id)))
+      .filter((m) => !this.cloud.isDeleted(m.id))
+      .slice(0, changesAtOnce(settings.platform.deployment.state, MAX_ADOPTIONS));
+    const leadership = this.leadershipCondition();
     if (strays.length === 0 || !leadership) return;
     const machinesOf = new Map<number, number>();
     for (let shard = 0; shard < shardCount(cache, settings); shard += 1) machinesOf.set(shard, 0);
@@ -175,7 +181,7 @@
     if (!result.ok) return;
     log.info({ shard, machines: strays.map((m) => m.id) }, 'strays taken in');
     for (const c of changes) {
-      this.deps.publish({ key: c.put, version: result.revision, value: c.value, deleted: false });
+      this.context.publish({ key: c.put, version: result.revision, value: c.value, deleted: false });
     }
   }
 
@@ -184,9 +190,9 @@
    * write of them was carried out: with no job left, no one else would ever delete them. That the job is over is
    * proved inside the transaction; a job that is over never comes back.
    */
-  async #sweep(): Promise<void> {
-    const { store, settings } = this.deps;
-    const most = changesAtOnce(settings.platform.deployment.state, SWEPT_AT_ONCE);
+  async #collectGarbage(): Promise<void> {
+    const { store, settings } = this.context;
+    const most = changesAtOnce(settings.platform.deployment.state, MAX_DELETIONS);
     const orphans = this.#recordSweep.orphans().slice(0, most);
     if (orphans.length === 0) return;
     await store.compareAndSwap(
--- a/src/coordination/ownership/lease-extension.ts
+++ b/src/coordination/ownership/lease-extension.ts
@@ -6,7 +6,7 @@
 import { KEY, PREFIX, read } from '../../bookkeeping/records';
 import { DRIFT } from '../../bookkeeping/session';
 import type { LeaseExtensionGrant, LeaseExtensionRequest, PeerMessage } from '../../protocol/peers';
-import type { NodeContext } from '../node-context';
+import type { ControllerContext } from '../controller-context';
 
 /** Safety margin: the requester stops using a grant this long before it ends. */
 const UNUSED_MS = 400;
@@ -31,7 +31,7 @@
   #boundUntil: number;
 
   constructor(
-    private readonly deps: NodeContext,
+    private readonly context: ControllerContext,
     private readonly broadcast: (message: PeerMessage) => void,
     /** Whether this node is acquiring a shard at this moment. */
     private readonly isAcquiring: () => boolean,
@@ -44,26 +44,26 @@
 
   /** Whether no grant given by this node forbids it to acquire a shard. */
   get mayAcquireShards(): boolean {
-    return this.deps.clock.now() > this.#boundUntil;
+    return this.context.clock.now() > this.#boundUntil;
   }
 
   /** One step of the requesting side; to be run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
-    const { clock, session, store, node, cache } = this.deps;
+    const { clock, session, store, controllerId, cache } = this.context;
     await clock.sleep(REQUEST_INTERVAL_MS, signal);
-    if (!session.waning || !session.valid || !store.isUnavailable) return;
+    if (!session.isNearExpiry || !session.valid || !store.isUnavailable) return;
     this.#requestNumber += 1;
     this.#requestedAt.set(this.#requestNumber, clock.now());
     this.#requestedAt.delete(this.#requestNumber - REMEMBERED_REQUESTS);
     this.broadcast({
       kind: 'lease extension request',
-      request: { from: node, number: this.#requestNumber, revision: cache.revision },
+      request: { from: controllerId, number: this.#requestNumber, revision: cache.revision },
     });
   }
 
   /** Grants a peer's request, or ignores it when this node can reach the state service or has the peer's shard. */
   onRequest(request: LeaseExtensionRequest): void {
-    const { clock, store, cache, node } = this.deps;
+    const { clock, store, cache, controllerId } = this.context;
     if (!store.isUnavailable || this.isAcquiring() || this.#lostShard(request.from)) return;
     const ended = cache.deletedSince(PREFIX.job, request.revision);
     // The grant has to name the cancellations that the requester may have missed: it would not learn of them while it
@@ -71,7 +71,7 @@
     if (!ended) return;
     this.#boundUntil = Math.max(this.#boundUntil, clock.now() + LEASE_EXTENSION_MS * (1 + DRIFT));
     const grant: LeaseExtensionGrant = {
-      from: node,
+      from: controllerId,
       to: request.from,
       number: request.number,
       endedJobs: ended.map(({ key, version }) => ({ id: key.slice(PREFIX.job.length), version })),
@@ -81,9 +81,9 @@
 
   /** Takes in a peer's grant, and extends the session once all peers have granted. */
   onGrant(grant: LeaseExtensionGrant): void {
-    const { clock, session, cache, node, settings, log } = this.deps;
+    const { clock, session, cache, controllerId, settings, log } = this.context;
     const requestedAt = this.#requestedAt.get(grant.number);
-    if (grant.to !== node || requestedAt === undefined) return;
+    if (grant.to !== controllerId || requestedAt === undefined) return;
     for (const { id, version } of grant.endedJobs) cache.offer({ key: KEY.job(id), version, deleted: true });
     const previous = this.#grantedRequestAt.get(grant.from) ?? 0;
     this.#grantedRequestAt.set(grant.from, Math.max(previous, requestedAt));
@@ -95,12 +95,12 @@
     if (until <= clock.now()) return;
     if (until - session.validUntil > LEASE_EXTENSION_MS / 2)
       log.info({ until }, 'all peers extended the lease');
-    session.prolong(until);
+    session.extendUntil(until);
   }
 
   /** Whether a shard assigned to the node is leased by another, which the node may be unable to see. */
   #lostShard(node: string): boolean {
-    const { cache, settings } = this.deps;
+    const { cache, settings } = this.context;
     for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
       const lease = read.lease(cache.get(KEY.lease(shard))?.value);
       const assigned = read.shard(cache.get(KEY.shard(shard))?.value);
--- a/src/coordination/ownership/lease-relay.ts
+++ b/src/coordination/ownership/lease-relay.ts
@@ -5,7 +5,7 @@
 import { KEY, read } from '../../bookkeeping/records';
 import type { WatchCache } from '../../bookkeeping/watch-cache';
 import type { WorkerCommand, WorkerHeartbeat } from '../../protocol/model';
-import type { NodeContext } from '../node-context';
+import type { ControllerContext } from '../controller-context';
 import { PEER_TIMEOUT_MS } from '../../suspicion/peer-liveness';
 import type { PeerReachability } from '../../suspicion/peer-reachability';
 
@@ -38,21 +38,21 @@
   readonly #startedAt: number;
 
   constructor(
-    private readonly deps: NodeContext,
+    private readonly context: ControllerContext,
     private readonly reachability: PeerReachability,
   ) {
-    this.#startedAt = deps.clock.now();
+    this.#startedAt = context.clock.now();
   }
 
   /** One step: writes or deletes records. To be run in a loop, and whenever a peer may have become unreachable. */
   async step(): Promise<void> {
-    const { cache, session, settings } = this.deps;
+    const { cache, session, settings } = this.context;
     const { lease: ownLease } = session;
     if (!cache.loaded || !session.valid || ownLease === undefined) {
       this.#relayed.clear();
       return;
     }
-    const now = this.deps.clock.now();
+    const now = this.context.clock.now();
     for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
       const needed = this.#isNeeded(shard, now);
       if (needed && this.#relayed.get(shard) !== ownLease) {
@@ -65,9 +65,9 @@
 
   /** Whether the owner of the shard is another node that is unreachable, or was until a moment ago. */
   #isNeeded(shard: number, now: number): boolean {
-    const { cache, node } = this.deps;
+    const { cache, controllerId } = this.context;
     const lease = read.lease(cache.get(KEY.lease(shard))?.value);
-    if (lease === undefined || lease.owner === node) return false;
+    if (lease === undefined || lease.owner === controllerId) return false;
     // A node that starts has not received anything from its peers yet. If it relayed then for no reason, unresponsive
     // workers would count as just answered, and a shard that was taken over would wait for them for another lease.
     const hasListened = now - this.#startedAt > PEER_TIMEOUT_MS;
@@ -77,8 +77,8 @@
 
   async #writeRecord(shard: number, ownLease: number): Promise<void> {
     const key = this.#key(shard);
-    const result = await this.deps.store.compareAndSwap(
-      [{ key, version: this.deps.cache.version(key) }],
+    const result = await this.context.store.compareAndSwap(
+      [{ key, version: this.context.cache.version(key) }],
       [{ put: key, value: {}, lease: ownLease }],
       true,
     );
@@ -89,15 +89,15 @@
     const key = this.#key(shard);
     // In this order: no report is answered any more when the record goes.
     this.#relayed.delete(shard);
-    await this.deps.store.compareAndSwap(
-      [{ key, version: this.deps.cache.version(key) }],
+    await this.context.store.compareAndSwap(
+      [{ key, version: this.context.cache.version(key) }],
       [{ delete: key }],
       true,
     );
   }
 
   #key(shard: number): string {
-    return KEY.relay(shard, this.deps.node);
+    return KEY.relay(shard, this.context.controllerId);
   }
 
   /**
@@ -106,15 +106,16 @@
    * that is delayed beyond the partition could still be carried out for as long as the relay answers, though its job was
    * cancelled long ago.
    */
-  answer(
+  respond(
     heartbeat: WorkerHeartbeat,
     shard: number,
   ): { fencingToken: number; commands: WorkerCommand[] } | undefined {
-    const { cache, session, node } = this.deps;
+    const { cache, session, controllerId } = this.context;
     const isRelayed = session.lease !== undefined && this.#relayed.get(shard) === session.lease;
     if (!isRelayed || !session.validByOwnLease || heartbeat.attempts.length === 0) return undefined;
     const lease = read.lease(cache.get(KEY.lease(shard))?.value);
-    if (!lease || lease.owner === node || this.reachability.reaches(lease.owner, shard)) return undefined;
+    if (!lease || lease.owner === controllerId || this.reachability.reaches(lease.owner, shard))
+      return undefined;
     return { fencingToken: lease.token, commands: evictionsOfEndedJobs(heartbeat, cache) };
   }
 }
--- a/src/coordination/ownership/contenders.ts
+++ b/src/coordination/ownership/owner-candidates.ts
@@ -2,19 +2,19 @@
 import { shardCount } from '../../bookkeeping/shard-count';
 import { KEY, PREFIX, read } from '../../bookkeeping/records';
 import type { Contender } from '../../suspicion/suspicion';
-import type { NodeContext } from '../node-context';
+import type { ControllerContext } from '../controller-context';
 
 /** The controllers that hold a session, the one that has held its own for longest first. */
-export function liveNodes({ cache }: NodeContext): string[] {
-  return [...cache.under(PREFIX.node)]
+export function liveControllers({ cache }: ControllerContext): string[] {
+  return [...cache.under(PREFIX.controller)]
     .sort((a, b) => a.version - b.version)
-    .map((entry) => entry.key.slice(PREFIX.node.length));
+    .map((entry) => entry.key.slice(PREFIX.controller.length));
 }
 
 /** How many shards are assigned to each live controller. */
-export function shardsByNode(context: NodeContext): Map<string, number> {
+export function shardsByController(context: ControllerContext): Map<string, number> {
   const { cache, settings } = context;
-  const counts = new Map(liveNodes(context).map((node) => [node, 0]));
+  const counts = new Map(liveControllers(context).map((node) => [node, 0]));
   for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
     const owner = read.shard(cache.get(KEY.shard(shard))?.value)?.owner;
     const count = owner === undefined ? undefined : counts.get(owner);
@@ -24,7 +24,10 @@
 }
 
 /** The live controllers with what the choice of an owner goes by. */
-export function contenders(context: NodeContext, shards: ReadonlyMap<string, number>): Contender[] {
+export function ownerCandidates(
+  context: ControllerContext,
+  shards: ReadonlyMap<string, number>,
+): Contender[] {
   const missing = context.formatGate.missing();
   return [...shards].map(([node, count]) => ({ node, shards: count, isUpgraded: !missing.includes(node) }));
 }
@@ -35,11 +38,11 @@
  * on, suspects come last.
  */
 export function rankOwners(
-  context: NodeContext,
+  context: ControllerContext,
   shard: number,
   shards: ReadonlyMap<string, number>,
 ): string[] {
-  const candidates = contenders(context, shards);
+  const candidates = ownerCandidates(context, shards);
   if (context.suspicion) return context.suspicion.rank(shard, candidates);
   return candidates
     .sort((a, b) => a.shards - b.shards || Number(b.isUpgraded) - Number(a.isUpgraded))
--- a/src/coordination/ownership/record-sweep.ts
+++ b/src/coordination/ownership/record-garbage-collector.ts
@@ -19,7 +19,7 @@
 }
 
 /** Looks for orphan records in this node's copy. */
-export class RecordSweep {
+export class RecordGarbageCollector {
   /** Since when, in steady time, dependency parts have been seen without their job. */
   readonly #unclaimedSince = new Map<string, number>();
 
--- a/src/coordination/ownership/shard-acquisition.ts
+++ b/src/coordination/ownership/shard-acquisition.ts
@@ -1,12 +1,12 @@
 /** @file Acquires the shards that the leader assigned to this node, gives them up, and hands them over. */
 import { shardCount } from '../../bookkeeping/shard-count';
 import { KEY, read, type ShardRecord } from '../../bookkeeping/records';
-import type { Entry } from '../../protocol/state';
+import type { Entry } from '../../protocol/key-value-store';
 import { HandoverTrace } from '../../suspicion/handover-trace';
 import type { PeerReachability } from '../../suspicion/peer-reachability';
 import { ShardOwner } from '../shard/shard-owner';
-import type { NodeContext } from '../node-context';
-import { shardsByNode, contenders } from './contenders';
+import type { ControllerContext } from '../controller-context';
+import { shardsByController, ownerCandidates } from './owner-candidates';
 import type { LeaseExtension } from './lease-extension';
 
 const VIEW_POLL_MS = 5;
@@ -31,7 +31,7 @@
   #isAcquiring = false;
 
   constructor(
-    private readonly context: NodeContext,
+    private readonly context: ControllerContext,
     private readonly reachability: PeerReachability,
     private readonly leaseExtension: LeaseExtension,
   ) {}
@@ -59,11 +59,12 @@
 
   /** Gives an owned shard up when it is no longer this node's, or when another node reaches its workers. */
   async #review(owner: ShardOwner): Promise<void> {
-    const { node, cache, session, store } = this.context;
+    const { controllerId, cache, session, store } = this.context;
     const { shard } = owner;
     const lease = read.lease(cache.get(KEY.lease(shard))?.value);
-    if (session.lease === undefined || lease?.owner !== node) owner.stop('its lease is not held here');
-    else if (read.shard(cache.get(KEY.shard(shard))?.value)?.owner !== node) {
+    if (session.lease === undefined || lease?.owner !== controllerId)
+      owner.stop('its lease is not held here');
+    else if (read.shard(cache.get(KEY.shard(shard))?.value)?.owner !== controllerId) {
       owner.stop('the leader gave it to another node');
       // Once the lease is gone the other may take it: nothing leaves here any more.
       await store.compareAndSwap([owner.leaseCondition()], [{ delete: KEY.lease(shard) }], true);
@@ -75,7 +76,7 @@
 
   /** A node that is cut from most workers of its shard gives it to one that they come to instead. */
   async #handOverUnreachable(owner: ShardOwner): Promise<void> {
-    const { machines, unheard } = owner.hearing();
+    const { machines, unheard } = owner.workerReachability();
     const successor = this.reachability.successor(owner.shard, machines, unheard);
     if (successor === undefined || this.#record(owner.shard) === undefined) return;
     const { shard } = owner;
@@ -92,16 +93,16 @@
   async #handOverPlanned(owner: ShardOwner): Promise<void> {
     const { suspicion, log } = this.context;
     const { shard } = owner;
-    const candidates = suspicion ? contenders(this.context, shardsByNode(this.context)) : [];
+    const candidates = suspicion ? ownerCandidates(this.context, shardsByController(this.context)) : [];
     const planned = suspicion?.plannedHandover(shard, candidates);
-    if (!planned || this.#record(shard)?.owner !== this.context.node) return;
+    if (!planned || this.#record(shard)?.owner !== this.context.controllerId) return;
     const { successor, reason } = planned;
     log.info({ shard, successor, reason }, 'giving a shard up in order');
     const handover = new HandoverTrace(shard, this.context);
     owner.stop(reason);
     handover.reached('stopped', { reason });
     await this.#drain(owner);
-    handover.reached('drained', { unanswered: owner.outstandingCommands });
+    handover.reached('drained', { unanswered: owner.commandsInFlight });
     await this.#nameSuccessor(owner, successor);
     handover.reached('successor named', { successor });
   }
@@ -110,7 +111,7 @@
   async #drain(owner: ShardOwner): Promise<void> {
     const { clock, session } = this.context;
     const until = clock.now() + DRAIN_MS;
-    while (owner.outstandingCommands > 0 && clock.now() < until && session.valid) {
+    while (owner.commandsInFlight > 0 && clock.now() < until && session.valid) {
       await clock.sleep(DRAIN_POLL_MS);
     }
   }
@@ -123,7 +124,7 @@
     if (!record) return;
     const deletion = { delete: KEY.lease(owner.shard) };
     // The leader may have given it to another meanwhile: its word stands.
-    const isAssignedHere = record.owner === this.context.node;
+    const isAssignedHere = record.owner === this.context.controllerId;
     const changes = isAssignedHere
       ? [{ put: key, value: { ...record, owner: successor } }, deletion]
       : [deletion];
@@ -141,16 +142,16 @@
   }
 
   async #acquireIfAssigned(shard: number): Promise<AcquisitionOutcome> {
-    const { cache, session, node } = this.context;
+    const { cache, session, controllerId } = this.context;
     if (!session.valid || session.lease === undefined) return 'lost';
     const held = cache.get(KEY.lease(shard));
     if (held) {
-      if (read.lease(held.value)?.owner === node) await this.#deleteLeaseWithoutTables(held);
+      if (read.lease(held.value)?.owner === controllerId) await this.#deleteLeaseWithoutTables(held);
       return 'refused';
     }
     const record = this.#record(shard);
-    this.#followAssignment(shard, record?.owner === node);
-    if (record?.owner !== node || !this.#mayAcquire(record)) return 'refused';
+    this.#followAssignment(shard, record?.owner === controllerId);
+    if (record?.owner !== controllerId || !this.#mayAcquire(record)) return 'refused';
     return this.#acquire(shard, record, session.lease);
   }
 
@@ -178,7 +179,7 @@
 
   /** Acquires the lease and draws a token in one transaction. */
   async #acquire(shard: number, record: ShardRecord, sessionLease: number): Promise<AcquisitionOutcome> {
-    const { node, cache, session, store, clock, log } = this.context;
+    const { controllerId, cache, session, store, clock, log } = this.context;
     const token = (read.fencingToken(cache.get(KEY.fencingToken)?.value)?.next ?? 0) + 1;
     const result = await store.compareAndSwap(
       [
@@ -188,15 +189,15 @@
       ],
       [
         { put: KEY.fencingToken, value: { next: token } },
-        { put: KEY.lease(shard), value: { owner: node, token }, lease: sessionLease },
-        { put: KEY.shard(shard), value: { ...record, holder: node } },
+        { put: KEY.lease(shard), value: { owner: controllerId, token }, lease: sessionLease },
+        { put: KEY.shard(shard), value: { ...record, holder: controllerId } },
       ],
       true,
     );
     if (!result.ok) return 'refused';
     // The tables are built from a view that holds everything the owner before us could have acted on.
     while (cache.revision < result.revision && session.valid) await clock.sleep(VIEW_POLL_MS);
-    if (!session.valid || read.lease(cache.get(KEY.lease(shard))?.value)?.owner !== node) {
+    if (!session.valid || read.lease(cache.get(KEY.lease(shard))?.value)?.owner !== controllerId) {
       log.warn({ shard }, 'a shard was lost before it was taken');
       return 'lost';
     }
@@ -206,15 +207,15 @@
         teams: record.teams,
         fencingToken: token,
         leaseVersion: result.revision,
-        takenRevision: result.revision,
+        acquiredRevision: result.revision,
       },
       this.context,
     );
-    this.#begin(owner, token);
+    this.#startOwner(owner, token);
     return 'acquired';
   }
 
-  #begin(owner: ShardOwner, token: number): void {
+  #startOwner(owner: ShardOwner, token: number): void {
     const { shard } = owner;
     this.#owners.set(shard, owner);
     const handover = this.#handovers.get(shard);
@@ -229,9 +230,9 @@
    * shard last, or nobody ever did: then there is nobody to be promised anything, and workers' leases are running out.
    */
   #mayAcquire({ holder }: ShardRecord): boolean {
-    const { cache, node } = this.context;
+    const { cache, controllerId } = this.context;
     const neverHeld = cache.get(KEY.fencingToken) === undefined;
-    return this.leaseExtension.mayAcquireShards || neverHeld || holder === node;
+    return this.leaseExtension.mayAcquireShards || neverHeld || holder === controllerId;
   }
 
   #record(shard: number): ShardRecord | undefined {
--- a/src/coordination/routes.ts
+++ b/src/coordination/routes.ts
@@ -7,7 +7,7 @@
 import { JOB_ID, readSubmission, typeAllows, writeStanding, writeStatus } from '../protocol/users';
 import { readHeartbeat, writeRedirect, writeHeartbeatResponse } from '../protocol/workers';
 import type { HttpReply, Route } from '../transport/http-server';
-import type { Node, HeartbeatResponse } from './node';
+import type { Controller, HeartbeatResponse } from './controller';
 
 const RETRY_AFTER_S = 1;
 
@@ -29,12 +29,12 @@
   if (answer.kind === 'accepted') {
     return { status: 200, body: writeHeartbeatResponse(answer.fencingToken, answer.commands) };
   }
-  if (answer.kind === 'elsewhere') return { status: 421, body: writeRedirect(answer.owner) };
+  if (answer.kind === 'redirect') return { status: 421, body: writeRedirect(answer.owner) };
   return { status: 503, body: { error: 'not now' } };
 }
 
 /** The interface for users and workers. Each request that can't be decided now is answered at once with 503. */
-export function createRoutes(node: Node, log: Log): Route[] {
+export function createRoutes(node: Controller, log: Log): Route[] {
   const { teams } = node.settings.platform.deployment;
   const undecided = (error?: unknown): HttpReply => {
     if (error instanceof UnknownDependency) return refused(422, error.message);
@@ -66,7 +66,7 @@
       method: 'GET',
       url: '/up',
       use: 'health',
-      handle: () => ({ status: node.ready ? 200 : 503, body: { ready: node.ready } }),
+      handle: () => ({ status: node.isReady ? 200 : 503, body: { ready: node.isReady } }),
     },
     {
       method: 'GET',
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -6,7 +6,7 @@
   type MachineType,
   type Resources,
 } from '../../protocol/model';
-import { fits, mayUse } from './placement';
+import { fitsInto, isEligible } from './placement';
 
 /** A running task that might move to another machine. */
 export interface MovableTask {
@@ -15,11 +15,11 @@
   /** How long it will run on, as far as estimates tell. */
   readonly remainingS: number;
   /** It runs, and can save what it has done. */
-  readonly canSave: boolean;
+  readonly canCheckpoint: boolean;
 }
 
 /** A machine with its tasks and the room that is free there. */
-export interface SparseMachine {
+export interface ConsolidationCandidate {
   readonly id: string;
   readonly type: MachineType;
   readonly zone: string;
@@ -30,7 +30,7 @@
 
 /** A snapshot of the machines. */
 export interface ConsolidationInput {
-  readonly machines: readonly SparseMachine[];
+  readonly machines: readonly ConsolidationCandidate[];
   /** Idle CPUs to keep for work that should start at once. */
   readonly warmCpus: number;
 }
@@ -51,7 +51,7 @@
  * machines can be returned; otherwise a single long task would keep a whole machine rented.
  */
 export function chooseConsolidation(input: ConsolidationInput): { machine: string; tasks: string[] }[] {
-  const used = (m: SparseMachine): number => 1 - m.free.cpus / m.type.cpus;
+  const used = (m: ConsolidationCandidate): number => 1 - m.free.cpus / m.type.cpus;
   const rooms = new Map(input.machines.map((m) => [m.id, { ...m.free }]));
   let spare = input.machines.reduce((sum, m) => sum + Math.max(0, m.free.cpus), 0) - input.warmCpus;
   const sparse = input.machines.filter(
@@ -75,7 +75,7 @@
       const to = taking.find((o) => {
         const room = rooms.get(o.id);
         const better = o.spot === m.spot ? used(o) >= used(m) : o.spot;
-        return o.id !== m.id && better && room && fits(job, room) && mayUse(job, o);
+        return o.id !== m.id && better && room && fitsInto(job, room) && isEligible(job, o);
       });
       const taken = to && rooms.get(to.id);
       if (!to || !taken) break;
@@ -95,22 +95,22 @@
 }
 
 /** Whether the task may be sent elsewhere: where some jobs' tasks may be is bound to where their others are. */
-function isMovable({ job, canSave }: MovableTask): boolean {
-  return canSave && !job.oneZone && !job.spread;
+function isMovable({ job, canCheckpoint }: MovableTask): boolean {
+  return canCheckpoint && !job.oneZone && !job.spread;
 }
 
 /** How long the machine is needed for what can't be moved. */
-function boundS(m: SparseMachine): number {
+function boundS(m: ConsolidationCandidate): number {
   return Math.max(0, ...m.tasks.filter((t) => !isMovable(t)).map((t) => t.remainingS));
 }
 
 /** What would keep the machine for longer than what can't be moved does. */
-function toMove(m: SparseMachine): MovableTask[] {
+function toMove(m: ConsolidationCandidate): MovableTask[] {
   const bound = boundS(m);
   return m.tasks.filter((t) => isMovable(t) && t.remainingS > bound);
 }
 
-function isWorth(m: SparseMachine): boolean {
+function isWorth(m: ConsolidationCandidate): boolean {
   const tasks = toMove(m);
   const gainS = Math.max(0, ...tasks.map((t) => t.remainingS)) - boundS(m);
   const cost = tasks.reduce(
--- a/src/coordination/scheduling/eager.ts
+++ b/src/coordination/scheduling/eager.ts
@@ -1,45 +1,48 @@
 /** A machine as the eager trigger sees it. */
-export interface QuietMachine {
+export interface MonitoredMachine {
   readonly id: string;
   readonly zone: string;
   /** Steady time of its last report, or since when one is waited for. */
-  readonly heardAt: number;
-  readonly busy: boolean;
+  readonly lastHeartbeatAt: number;
+  readonly isBusy: boolean;
   /** Nothing in the shard can be issued before it is known what is on it. */
-  readonly holdsUp: boolean;
+  readonly blocksShard: boolean;
 }
 
 export interface EagerInput {
-  readonly machines: readonly QuietMachine[];
+  readonly machines: readonly MonitoredMachine[];
   readonly now: number;
   /** After this long without a report a machine's tasks are candidates. */
-  readonly missedMs: number;
+  readonly heartbeatTimeoutMs: number;
   /** After this long its stop is confirmed by releasing it. */
-  readonly releaseMs: number;
+  readonly returnAfterMs: number;
   /** The same for one that holds up the shard. */
-  readonly heldUpMs: number;
+  readonly shardBlockedMs: number;
 }
 
 export interface EagerResult {
   /** Machines whose tasks should be stopped and issued again, longest silence first. */
   candidates: string[];
   /** Those of them to be released: the quickest way to know that their tasks are gone. */
-  release: string[];
+  toReturn: string[];
 }
 
 /** So many silent machines in one zone, or in all, look like a cut of ours rather than like their own failure. */
-const FEW = 2;
+const MAX_UNSUSPICIOUS = 2;
 const SUSPICIOUS_SHARE = 0.3;
 
 /** The eager trigger: which machines have gone silent, and which of them to give up. */
 export function eagerCandidates(input: EagerInput): EagerResult {
-  const silentFor = (m: QuietMachine): number => input.now - m.heardAt;
+  const silentFor = (m: MonitoredMachine): number => input.now - m.lastHeartbeatAt;
   const silent = input.machines.filter(
-    (m) => silentFor(m) > (m.holdsUp ? Math.min(input.missedMs, input.heldUpMs) : input.missedMs),
+    (m) =>
+      silentFor(m) >
+      (m.blocksShard ? Math.min(input.heartbeatTimeoutMs, input.shardBlockedMs) : input.heartbeatTimeoutMs),
   );
   silent.sort((a, b) => silentFor(b) - silentFor(a));
-  const suspicious = (some: number, all: number): boolean => some > FEW && some > all * SUSPICIOUS_SHARE;
-  const zoneOf = (zone: string, of: readonly QuietMachine[]): number =>
+  const suspicious = (some: number, all: number): boolean =>
+    some > MAX_UNSUSPICIOUS && some > all * SUSPICIOUS_SHARE;
+  const zoneOf = (zone: string, of: readonly MonitoredMachine[]): number =>
     of.filter((m) => m.zone === zone).length;
   const lost = silent.filter(
     (m) =>
@@ -47,9 +50,13 @@
       !suspicious(silent.length, input.machines.length),
   );
   return {
-    candidates: lost.filter((m) => m.busy).map((m) => m.id),
-    release: lost
-      .filter((m) => silentFor(m) > (m.holdsUp ? Math.min(input.heldUpMs, input.releaseMs) : input.releaseMs))
+    candidates: lost.filter((m) => m.isBusy).map((m) => m.id),
+    toReturn: lost
+      .filter(
+        (m) =>
+          silentFor(m) >
+          (m.blocksShard ? Math.min(input.shardBlockedMs, input.returnAfterMs) : input.returnAfterMs),
+      )
       .map((m) => m.id),
   };
 }
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -8,49 +8,49 @@
   type Resources,
 } from '../../protocol/model';
 import {
-  anywhere,
-  fits,
-  Hopeless,
-  mayUse,
-  zoneAllows,
-  type TeamLimits,
-  type TeamUse,
+  isUnconstrained,
+  fitsInto,
+  UnplaceableSizes,
+  isEligible,
+  zoneConstraintsAllow,
+  type TeamQuota,
+  type TeamUsage,
   type WaitingJob,
 } from './placement';
 
 /** A running task that may have to be stopped. */
-export interface Victim {
+export interface PreemptibleTask {
   readonly key: string;
   readonly job: Job;
   /** Seconds of work that stopping it now would lose, saving included. */
   readonly lossS: number;
   /** It is being stopped already; its room comes free. */
-  readonly stopping: boolean;
+  readonly isBeingEvicted: boolean;
 }
 
 /** A machine with its tasks and the room that is free there. */
-export interface CrowdedMachine {
+export interface PreemptionCandidate {
   readonly id: string;
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
   readonly free: Resources;
-  readonly tasks: readonly Victim[];
+  readonly tasks: readonly PreemptibleTask[];
 }
 
 /** A snapshot of what waits and what runs. */
 export interface PreemptionInput {
   /** Jobs that found no room, in order, and how many tasks each. */
   readonly unplaced: readonly { waiting: WaitingJob; count: number }[];
-  readonly machines: readonly CrowdedMachine[];
-  readonly teams: ReadonlyMap<string, TeamLimits>;
-  readonly use: ReadonlyMap<string, TeamUse>;
+  readonly machines: readonly PreemptionCandidate[];
+  readonly quotas: ReadonlyMap<string, TeamQuota>;
+  readonly usage: ReadonlyMap<string, TeamUsage>;
 }
 
 /** Which tasks to stop on a machine so that one more task fits there. */
 interface Plan {
-  machine: CrowdedMachine;
-  victims: Victim[];
+  machine: PreemptionCandidate;
+  victims: PreemptibleTask[];
   loss: number;
 }
 
@@ -60,7 +60,7 @@
  * How to stop a running task, and how many seconds of work that costs. A task that saved by itself a moment ago loses
  * less by being stopped at once than by the time that saving takes, and its room is free sooner.
  */
-export function stopCost(job: Job, ranS: number): { graceS: number; lossS: number } {
+export function evictionCost(job: Job, ranS: number): { graceS: number; lossS: number } {
   if (job.checkpointS === 0) return { graceS: 0, lossS: ranS };
   const unsavedS = ranS % job.checkpointS;
   return unsavedS <= job.saveS ? { graceS: 0, lossS: unsavedS } : { graceS: job.saveS, lossS: job.saveS };
@@ -69,7 +69,7 @@
 /** The tasks to stop, each with its machine, and how many machines were examined for that. */
 export interface PreemptionResult {
   victims: { key: string; machine: string }[];
-  looks: number;
+  machinesExamined: number;
 }
 
 /**
@@ -85,18 +85,18 @@
 
 /** The state of one choice: rooms and teams' use change with each task that is chosen. */
 class PreemptionPlanner {
-  readonly #use: Map<string, TeamUse>;
+  readonly #use: Map<string, TeamUsage>;
   /** The machine of each task that is to be stopped. */
   readonly #stopped = new Map<string, string>();
   readonly #rooms = new Map<string, Resources>();
-  readonly #hopeless = new Hopeless();
+  readonly #hopeless = new UnplaceableSizes();
   #looks = 0;
 
   constructor(private readonly input: PreemptionInput) {
-    this.#use = new Map([...input.use].map(([team, use]) => [team, { ...use }]));
+    this.#use = new Map([...input.usage].map(([team, use]) => [team, { ...use }]));
     for (const machine of input.machines) {
       const room = { ...machine.free };
-      for (const task of machine.tasks) if (task.stopping) addResources(room, task.job);
+      for (const task of machine.tasks) if (task.isBeingEvicted) addResources(room, task.job);
       this.#rooms.set(machine.id, room);
     }
   }
@@ -109,9 +109,12 @@
       if (timeIsUp()) break;
       if (this.#hopeless.has(group, job)) continue;
       const left = this.#makeRoom(waiting, count);
-      if (left === count && anywhere(waiting)) this.#hopeless.add(group, job);
+      if (left === count && isUnconstrained(waiting)) this.#hopeless.add(group, job);
     }
-    return { victims: [...this.#stopped].map(([key, machine]) => ({ key, machine })), looks: this.#looks };
+    return {
+      victims: [...this.#stopped].map(([key, machine]) => ({ key, machine })),
+      machinesExamined: this.#looks,
+    };
   }
 
   /** Makes room for up to `count` tasks of a job; returns for how many there was none. */
@@ -147,8 +150,8 @@
     const { job } = waiting;
     const plans: Plan[] = [];
     for (const machine of this.input.machines) {
-      if (!mayUse(job, machine) || waiting.avoid.has(machine.id)) continue;
-      if (!zoneAllows(job, waiting.zones, machine.zone)) continue;
+      if (!isEligible(job, machine) || waiting.machinesToAvoid.has(machine.id)) continue;
+      if (!zoneConstraintsAllow(job, waiting.zones, machine.zone)) continue;
       const plan = this.#plan(job, machine);
       if (plan) plans.push(plan);
     }
@@ -156,34 +159,34 @@
   }
 
   /** What to stop on a machine for one task of the job; undefined when that can't make enough room. */
-  #plan(job: Job, machine: CrowdedMachine): Plan | undefined {
+  #plan(job: Job, machine: PreemptionCandidate): Plan | undefined {
     this.#looks += 1;
     const room = { ...(this.#rooms.get(machine.id) ?? machine.free) };
-    if (fits(job, room)) return { machine, victims: [], loss: 0 };
+    if (fitsInto(job, room)) return { machine, victims: [], loss: 0 };
     const stoppable = machine.tasks.filter((task) => this.#mayStop(job, task));
     stoppable.sort(
       (a, b) => PRIORITY_RANK[b.job.priority] - PRIORITY_RANK[a.job.priority] || a.lossS - b.lossS,
     );
-    const victims: Victim[] = [];
+    const victims: PreemptibleTask[] = [];
     let loss = 0;
     for (const victim of stoppable) {
-      if (fits(job, room)) break;
+      if (fitsInto(job, room)) break;
       addResources(room, victim.job);
       victims.push(victim);
       loss += victim.lossS * victim.job.cpus;
     }
-    return fits(job, room) ? { machine, victims, loss } : undefined;
+    return fitsInto(job, room) ? { machine, victims, loss } : undefined;
   }
 
-  #mayStop(waiting: Job, victim: Victim): boolean {
-    if (victim.stopping || this.#stopped.has(victim.key)) return false;
+  #mayStop(waiting: Job, victim: PreemptibleTask): boolean {
+    if (victim.isBeingEvicted || this.#stopped.has(victim.key)) return false;
     if (PRIORITY_RANK[victim.job.priority] > PRIORITY_RANK[waiting.priority]) return true;
     // Never a task of a higher priority, though the rules would allow it: room is given by priority first, so that task
     // would be stopped for the guarantee, then stop the other by its priority, and so on without end.
     if (PRIORITY_RANK[victim.job.priority] < PRIORITY_RANK[waiting.priority]) return false;
     if (victim.job.team === waiting.team) return false;
-    const mine = this.input.teams.get(waiting.team);
-    const theirs = this.input.teams.get(victim.job.team);
+    const mine = this.input.quotas.get(waiting.team);
+    const theirs = this.input.quotas.get(victim.job.team);
     if (!mine || !theirs || mine.cpus === 0) return false;
     const isOwed = this.#useOf(waiting.team).cpus + waiting.cpus <= mine.cpus + EPSILON;
     return isOwed && this.#useOf(victim.job.team).cpus - victim.job.cpus >= theirs.cpus - EPSILON;
@@ -206,7 +209,7 @@
     this.#use.set(job.team, { cpus: team.cpus + job.cpus, gpus: team.gpus + job.gpus });
   }
 
-  #useOf(team: string): TeamUse {
+  #useOf(team: string): TeamUsage {
     return this.#use.get(team) ?? { cpus: 0, gpus: 0 };
   }
 }
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,13 +1,21 @@
 import { PRIORITY_RANK, subtractResources, type Job } from '../../protocol/model';
-import type { Attempts } from '../shard/attempts';
+import type { AttemptManager } from '../shard/attempt-manager';
 import type { Shard } from '../shard/shard';
-import { chooseConsolidation, type SparseMachine } from './consolidation';
-import type { NodeContext } from '../node-context';
+import { chooseConsolidation, type ConsolidationCandidate } from './consolidation';
+import type { ControllerContext } from '../controller-context';
 import { eagerCandidates } from './eager';
-import type { FleetInput, FleetMachine, RentOption } from '../fleet/fleet';
-import { holdsRoom, ranS, type Machine } from '../shard/machine';
-import { fits, mayUse, order, place, type RoomyMachine, type Turn, type WaitingJob } from './placement';
-import { choosePreemptions, stopCost, type CrowdedMachine } from './preemption';
+import type { ScalingInput, FleetMachine, InstanceOption } from '../autoscaling/scaling-plan';
+import { occupiesResources, elapsedS, type Machine } from '../shard/machine';
+import {
+  fitsInto,
+  isEligible,
+  orderQueue,
+  placeTasks,
+  type PlacementCandidate,
+  type QueueEntry,
+  type WaitingJob,
+} from './placement';
+import { choosePreemptions, evictionCost, type PreemptionCandidate } from './preemption';
 
 /** A machine that stays silent although it may be a cut of ours is given up this long after its lease's end. */
 const GIVE_UP_AFTER_LEASE_MS = 20_000;
@@ -40,8 +48,8 @@
 
   constructor(
     private readonly shard: Shard,
-    private readonly attempts: Attempts,
-    private readonly deps: NodeContext,
+    private readonly attempts: AttemptManager,
+    private readonly context: ControllerContext,
   ) {}
 
   get unplaced(): ReadonlyMap<string, number> {
@@ -49,13 +57,13 @@
   }
 
   /** What need not be looked at with every message: walks over all machines, on a clock. */
-  housekeep(now: number): void {
+  runPeriodicTasks(now: number): void {
     this.#countRelayedAsAnswered(now);
     this.#stopBeforeNotices(now);
     this.#eager(now);
     this.#endCancelled(now);
     this.#retire(now);
-    if (this.deps.eventLoopDelay.allowsOptimization) this.#consolidate(now);
+    if (this.context.eventLoopDelay.allowsOptimization) this.#consolidate(now);
   }
 
   /**
@@ -63,16 +71,20 @@
    * silent at once and taken for a cut of ours, or other nodes relay the leases: a machine that hangs hears neither.
    */
   #endCancelled(now: number): void {
-    for (const [, machine] of this.attempts.overdueStops(now)) {
-      if (machine.leaving !== undefined || !machine.isSilent(now, this.shard.timing.missedMs)) continue;
-      this.deps.log.info({ machine: machine.id }, 'a cancelled task there can not be stopped');
-      machine.leaving = 'silent';
+    for (const [, machine] of this.attempts.overdueEvictions(now)) {
+      if (
+        machine.drainReason !== undefined ||
+        !machine.hasMissedHeartbeats(now, this.shard.timing.heartbeatTimeoutMs)
+      )
+        continue;
+      this.context.log.info({ machine: machine.id }, 'a cancelled task there can not be stopped');
+      machine.drainReason = 'unresponsive';
     }
   }
 
   /** Finds room for what waits. True: the time was up before all had their turn. */
   round(now: number): boolean {
-    this.attempts.stopSurplus();
+    this.attempts.evictSurplus();
     const jobs = this.#waitingJobs(now);
     if (jobs.length === 0) {
       this.#unplaced.clear();
@@ -81,14 +93,25 @@
       this.#cursor = 0;
       return false;
     }
-    const endAt = this.deps.clock.now() + this.deps.settings.throttling.roundBudgetMs;
-    const timeIsUp = (): boolean => this.deps.clock.now() > endAt;
-    const turns = order(jobs, this.shard.teams);
+    const endAt = this.context.clock.now() + this.context.settings.throttling.roundBudgetMs;
+    const timeIsUp = (): boolean => this.context.clock.now() > endAt;
+    const turns = orderQueue(jobs, this.shard.teams);
     const { use, machines, agedCpus } = this.#roomy(jobs, now);
-    const agedRuns = this.shard.holdings.agedCpus > 0;
+    const agedRuns = this.shard.usage.boostedCpus > 0;
     const from = this.#cursor < turns.length ? this.#cursor : 0;
     const { teams } = this.shard;
-    const result = place({ turns, machines, teams, use, agedCpus, agedRuns, from }, timeIsUp);
+    const result = placeTasks(
+      {
+        queue: turns,
+        machines,
+        quotas: teams,
+        usage: use,
+        boostedCpusLeft: agedCpus,
+        hasBoostedTasks: agedRuns,
+        cursor: from,
+      },
+      timeIsUp,
+    );
     for (const placement of result.placements) this.attempts.issue(placement, now);
     if (from === 0) this.#unplaced = result.unplaced;
     else for (const [job, count] of result.unplaced) this.#unplaced.set(job, count);
@@ -98,7 +121,7 @@
     this.#completeOnce = true;
     if (this.#unplaced.size > 0 && now >= this.#preemptAt) {
       this.#preempt(turns, now, timeIsUp);
-      const took = this.deps.clock.now() - now;
+      const took = this.context.clock.now() - now;
       this.#preemptAt = now + Math.max(PREEMPT_EVERY_MS, took * PREEMPT_PART);
     }
     return false;
@@ -106,31 +129,31 @@
 
   #waitingJobs(now: number): WaitingJob[] {
     const { shard } = this;
-    const allKnown = shard.allKnown;
-    const agedMs = this.deps.settings.operator.aged_s * 1000;
+    const allKnown = shard.areAllMachinesConfirmed;
+    const agedMs = this.context.settings.operator.aged_s * 1000;
     const waiting: WaitingJob[] = [];
     for (const table of shard.tables.values()) {
       shard.updateUrgency(table);
-      if (table.unassigned === 0 || !shard.isReady(table) || table.retryAt > now) continue;
+      if (table.unassigned === 0 || !shard.areDependenciesDone(table) || table.retryAt > now) continue;
       const { job } = table;
       // A task may still be on a machine that we have not heard of since we took the shard. Only a job that was
       // accepted after we took it can't be; what its team may use there is counted against its limit.
-      if (!allKnown && table.version <= shard.takenRevision) continue;
-      const runS = shard.estimates.runS(job);
+      if (!allKnown && table.version <= shard.acquiredRevision) continue;
+      const runS = shard.runTimes.runS(job);
       const slackMs = shard.slackMs(table);
       const begun = table.done > 0 || table.issued.size > 0;
       waiting.push({
         job,
-        waiting: table.unassigned,
-        zones: shard.holdings.zonesOf(job.id),
+        waitingTasks: table.unassigned,
+        zones: shard.usage.zonesOf(job.id),
         slackMs,
-        work: table.remaining * job.cpus * runS,
-        avoid: table.avoided(now),
+        remainingCpuS: table.remaining * job.cpus * runS,
+        machinesToAvoid: table.machinesToAvoid(now),
         runS,
         // However much that is smaller or more urgent comes in: the oldest get some room out of turn, for otherwise
         // a large job that is late would wait for as long as the surplus lasts.
-        aged: shard.ageMs(table) > agedMs && (!begun || slackMs < 0) && !table.suspect,
-        begun,
+        isBoosted: shard.ageMs(table) > agedMs && (!begun || slackMs < 0) && !table.isJobSuspect,
+        hasStarted: begun,
         submittedAt: table.waitingSince,
       });
     }
@@ -141,38 +164,38 @@
   #roomy(
     jobs: readonly WaitingJob[],
     now: number,
-  ): { machines: RoomyMachine[]; use: ReturnType<Shard['use']>; agedCpus: number } {
+  ): { machines: PlacementCandidate[]; use: ReturnType<Shard['usageByTeam']>; agedCpus: number } {
     const { shard } = this;
-    const anyAged = jobs.some((j) => j.aged);
+    const anyAged = jobs.some((j) => j.isBoosted);
     const least = jobs.reduce((min, { job }) => Math.min(min, job.cpus), Infinity);
-    const machines: RoomyMachine[] = [];
+    const machines: PlacementCandidate[] = [];
     let totalCpus = 0;
     for (const m of shard.machines.values()) {
-      if (!shard.usable(m, now)) continue;
+      if (!shard.isSchedulable(m, now)) continue;
       totalCpus += m.type.cpus;
       // For aged work a machine without room may have to be kept clear.
       if (!anyAged && m.freeCpus + 1e-6 < least) continue;
       machines.push({
         ...{ id: m.id, type: m.type, zone: m.record.zone, spot: m.record.spot },
-        ...{ free: m.free(), images: m.images, busyForS: this.#busyForS(m, now) },
+        ...{ free: m.freeResources(), cachedImages: m.cachedImages, busyForS: this.#busyForS(m, now) },
       });
     }
-    const { aged_share } = this.deps.settings.operator;
-    return { machines, use: shard.use(), agedCpus: totalCpus * aged_share - shard.holdings.agedCpus };
+    const { aged_share } = this.context.settings.operator;
+    return { machines, use: shard.usageByTeam(), agedCpus: totalCpus * aged_share - shard.usage.boostedCpus };
   }
 
   #busyForS(machine: Machine, now: number): number {
     let longest = 0;
     for (const attempt of machine.attempts.values()) {
       const table = this.shard.tables.get(attempt.job);
-      if (!table || !holdsRoom(attempt) || attempt.stop) continue;
-      longest = Math.max(longest, this.shard.estimates.runS(table.job) - ranS(attempt, now), 1);
+      if (!table || !occupiesResources(attempt) || attempt.eviction) continue;
+      longest = Math.max(longest, this.shard.runTimes.runS(table.job) - elapsedS(attempt, now), 1);
     }
     return longest;
   }
 
   /** Whether anything may be stopped for the job at all: of a lower priority, or for its team's guarantee. */
-  #mayStopAny(job: Job, use: ReturnType<Shard['use']>): boolean {
+  #mayStopAny(job: Job, use: ReturnType<Shard['usageByTeam']>): boolean {
     const team = this.shard.teams.get(job.team);
     const used = use.get(job.team)?.cpus ?? 0;
     if (team && team.cpus > 0 && used + job.cpus <= team.cpus + EPSILON) return true;
@@ -182,56 +205,59 @@
     return false;
   }
 
-  #preempt(turns: readonly Turn[], now: number, timeIsUp: () => boolean): void {
-    const use = this.shard.use();
+  #preempt(turns: readonly QueueEntry[], now: number, timeIsUp: () => boolean): void {
+    const use = this.shard.usageByTeam();
     const unplaced = turns
-      .filter((turn) => turn.kind === 'usual')
+      .filter((turn) => turn.kind === 'regular')
       .map(({ waiting }) => ({ waiting, count: this.#unplaced.get(waiting.job.id) ?? 0 }))
       .filter(({ count, waiting }) => count > 0 && this.#mayStopAny(waiting.job, use));
     // Mostly so: walking over all that runs to find nothing took a tenth of the owner's time (docs/PERFORMANCE.md).
     if (unplaced.length === 0) return;
-    const machines: CrowdedMachine[] = [];
+    const machines: PreemptionCandidate[] = [];
     for (const m of this.shard.machines.values()) {
-      if (!this.shard.usable(m, now)) continue;
+      if (!this.shard.isSchedulable(m, now)) continue;
       const tasks = [...m.attempts.values()].flatMap((a) => {
         const job = this.shard.tables.get(a.job)?.job;
         // What was issued a moment ago is left alone: stopping it would only chase tasks about.
-        if (!job || !holdsRoom(a) || a.phase === 'sent' || a.aged) return [];
-        const ran = ranS(a, now);
+        if (!job || !occupiesResources(a) || a.phase === 'starting' || a.isBoosted) return [];
+        const ran = elapsedS(a, now);
         // It will have made room by itself before a stop would pay.
-        if (this.shard.estimates.runS(job) - ran < job.saveS + NEARLY_DONE_S && a.runningSince !== undefined)
+        if (this.shard.runTimes.runS(job) - ran < job.saveS + NEARLY_DONE_S && a.runningSince !== undefined)
           return [];
-        const { lossS } = stopCost(job, ran);
-        return [{ key: a.key, job, lossS, stopping: a.stop !== undefined }];
+        const { lossS } = evictionCost(job, ran);
+        return [{ key: a.key, job, lossS, isBeingEvicted: a.eviction !== undefined }];
       });
       const { id, type, record } = m;
-      machines.push({ id, type, zone: record.zone, spot: record.spot, free: m.free(), tasks });
+      machines.push({ id, type, zone: record.zone, spot: record.spot, free: m.freeResources(), tasks });
     }
-    const { victims } = choosePreemptions({ unplaced, machines, teams: this.shard.teams, use }, timeIsUp);
+    const { victims } = choosePreemptions(
+      { unplaced, machines, quotas: this.shard.teams, usage: use },
+      timeIsUp,
+    );
     for (const { key, machine: id } of victims) {
       const machine = this.shard.machines.get(id);
       const attempt = machine?.attempts.get(key);
       if (!machine || !attempt) continue;
       const job = this.shard.tables.get(attempt.job)?.job;
-      this.attempts.want(machine, attempt, job ? stopCost(job, ranS(attempt, now)).graceS : 0);
-      this.deps.log.debug({ job: attempt.job, task: attempt.task, machine: id }, 'stopped for others');
+      this.attempts.evict(machine, attempt, job ? evictionCost(job, elapsedS(attempt, now)).graceS : 0);
+      this.context.log.debug({ job: attempt.job, task: attempt.task, machine: id }, 'stopped for others');
     }
   }
 
   #countRelayedAsAnswered(now: number): void {
-    if (this.shard.isKept) this.countAllAsAnswered(now);
+    if (this.shard.isRelayed) this.assumeAllLeasesRenewed(now);
   }
 
   /** Some node relays leases, or has until now: any silent worker may have been answered just now. */
-  countAllAsAnswered(now: number): void {
+  assumeAllLeasesRenewed(now: number): void {
     for (const machine of this.shard.machines.values()) {
-      if (machine.up) machine.answeredAt = Math.max(machine.answeredAt, now);
+      if (machine.isUp) machine.latestLeaseStart = Math.max(machine.latestLeaseStart, now);
     }
   }
 
   #overdue(now: number): Machine[] {
     return [...this.shard.machines.values()].filter(
-      (m) => !(m.settled && m.attempts.size === 0) && now > m.deadAt(this.shard.timing.leaseMs),
+      (m) => !(m.isConfirmed && m.attempts.size === 0) && now > m.leaseExpiresAt(this.shard.timing.leaseMs),
     );
   }
 
@@ -239,36 +265,36 @@
    * Machines whose workers' leases ran out: they have killed and forgotten all they had, for nobody can have answered
    * them since, neither we nor a relay.
    */
-  async expire(): Promise<void> {
+  async expireLeases(): Promise<void> {
     // Without the state service nobody can be asked who relays; returning a machine proves its end all the same.
-    if (this.deps.store.isUnavailable || this.#overdue(this.deps.clock.now()).length === 0) return;
-    if (!(await this.shard.nobodyKeeps())) return;
+    if (this.context.store.isUnavailable || this.#overdue(this.context.clock.now()).length === 0) return;
+    if (!(await this.shard.confirmNotRelayed())) return;
     // What was kept until a moment ago is in our view by now.
-    const now = this.deps.clock.now();
+    const now = this.context.clock.now();
     this.#countRelayedAsAnswered(now);
     for (const machine of this.#overdue(now)) {
       const { id, attempts } = machine;
-      this.deps.log.info({ machine: id, attempts: attempts.size }, 'lease of a silent machine ran out');
-      this.attempts.dropAll(machine);
+      this.context.log.info({ machine: id, attempts: attempts.size }, 'lease of a silent machine ran out');
+      this.attempts.dropAllAttempts(machine);
     }
   }
 
   #stopBeforeNotices(now: number): void {
     for (const machine of this.shard.machines.values()) {
-      if (machine.noticeUntil === undefined) continue;
-      machine.leaving ??= 'notice';
+      if (machine.spotNoticeDeadline === undefined) continue;
+      machine.drainReason ??= 'spot notice';
       for (const attempt of machine.attempts.values()) {
         const table = this.shard.tables.get(attempt.job);
-        if (!table || attempt.stop || !holdsRoom(attempt)) continue;
-        const leftMs = machine.noticeUntil - now;
-        const neededMs = (this.shard.estimates.runS(table.job) - ranS(attempt, now)) * 1000;
+        if (!table || attempt.eviction || !occupiesResources(attempt)) continue;
+        const leftMs = machine.spotNoticeDeadline - now;
+        const neededMs = (this.shard.runTimes.runS(table.job) - elapsedS(attempt, now)) * 1000;
         const fetching = attempt.phase !== 'running';
         if (!fetching && neededMs < leftMs - NOTICE_MARGIN_MS) continue;
         const { checkpointS, saveS } = table.job;
         const graceS = checkpointS > 0 && !fetching ? saveS : 0;
         // A task that can save works on until just before it must; any other is issued again at once.
         if (graceS > 0 && leftMs > saveS * 1000 + 2 * NOTICE_MARGIN_MS) continue;
-        this.attempts.want(machine, attempt, graceS);
+        this.attempts.evict(machine, attempt, graceS);
       }
     }
   }
@@ -279,46 +305,47 @@
    */
   #eager(now: number): void {
     const { timing } = this.shard;
-    const { candidates, release } = eagerCandidates({
+    const { candidates, toReturn } = eagerCandidates({
       machines: [...this.shard.machines.values()]
-        .filter((m) => m.up && !m.releasing)
+        .filter((m) => m.isUp && !m.isReturnRequested)
         .map((m) => ({
           id: m.id,
           zone: m.record.zone,
           // One that reports but hears nothing is as good as silent.
-          heardAt: Math.min(m.heardAt ?? m.firstSeenAt, m.deafSince ?? Infinity),
-          busy: m.busy,
+          lastHeartbeatAt: Math.min(m.lastHeartbeatAt ?? m.firstSeenAt, m.unresponsiveSince ?? Infinity),
+          isBusy: m.isBusy,
           // All that waits in the shard waits for it: it was asked directly, and gave no answer.
-          holdsUp: !m.settled && m.unanswered,
+          blocksShard: !m.isConfirmed && m.isLastCommandUnanswered,
         })),
       now,
-      missedMs: timing.missedMs,
-      releaseMs: timing.silentReleaseMs,
-      heldUpMs: HELD_UP_MS,
+      heartbeatTimeoutMs: timing.heartbeatTimeoutMs,
+      returnAfterMs: timing.unresponsiveReturnMs,
+      shardBlockedMs: HELD_UP_MS,
     });
-    for (const id of release) {
+    for (const id of toReturn) {
       const machine = this.shard.machines.get(id);
-      if (machine) machine.leaving ??= 'silent';
+      if (machine) machine.drainReason ??= 'unresponsive';
     }
     if (candidates.length === 0 || !this.#complete || this.#unplaced.size > 0) return;
-    if (!this.deps.eventLoopDelay.allowsOptimization) return;
+    if (!this.context.eventLoopDelay.allowsOptimization) return;
     const rooms = [...this.shard.machines.values()]
-      .filter((m) => this.shard.usable(m, now))
-      .map((m) => ({ m, room: m.free() }));
+      .filter((m) => this.shard.isSchedulable(m, now))
+      .map((m) => ({ m, room: m.freeResources() }));
     for (const id of candidates) {
       const machine = this.shard.machines.get(id);
       if (!machine) continue;
       for (const attempt of machine.attempts.values()) {
         const job = this.shard.tables.get(attempt.job)?.job;
-        if (!job || attempt.stop || !holdsRoom(attempt)) continue;
+        if (!job || attempt.eviction || !occupiesResources(attempt)) continue;
         const found = rooms.find(
           ({ m, room }) =>
-            fits(job, room) && mayUse(job, { type: m.type, zone: m.record.zone, spot: m.record.spot }),
+            fitsInto(job, room) &&
+            isEligible(job, { type: m.type, zone: m.record.zone, spot: m.record.spot }),
         );
         if (!found) continue;
         subtractResources(found.room, job);
-        this.deps.log.info({ job: job.id, task: attempt.task, machine: id }, 'eager re-issue: stop first');
-        this.attempts.want(machine, attempt, job.checkpointS > 0 ? job.saveS : 0);
+        this.context.log.info({ job: job.id, task: attempt.task, machine: id }, 'eager re-issue: stop first');
+        this.attempts.evict(machine, attempt, job.checkpointS > 0 ? job.saveS : 0);
       }
     }
   }
@@ -329,82 +356,83 @@
     if (now - this.#consolidatedAt < CONSOLIDATE_EVERY_MS) return;
     this.#consolidatedAt = now;
     // Not while anything waits for room, which it would take.
-    if (!this.#complete || this.#unplaced.size > 0 || !shard.allKnown) return;
-    const machines: SparseMachine[] = [];
+    if (!this.#complete || this.#unplaced.size > 0 || !shard.areAllMachinesConfirmed) return;
+    const machines: ConsolidationCandidate[] = [];
     let totalCpus = 0;
     for (const m of shard.machines.values()) {
-      if (!shard.usable(m, now)) continue;
+      if (!shard.isSchedulable(m, now)) continue;
       totalCpus += m.type.cpus;
       const tasks = [...m.attempts.values()].flatMap((a) => {
         const job = shard.tables.get(a.job)?.job;
-        if (!job || !holdsRoom(a)) return [];
-        const ran = ranS(a, now);
-        const canSave = a.phase === 'running' && !a.stop && job.checkpointS > 0 && ran >= STAY_S;
-        const remainingS = Math.max(shard.estimates.runS(job) - ran, ran * OVERDUE_GOES_ON);
-        return [{ key: a.key, job, remainingS, canSave }];
+        if (!job || !occupiesResources(a)) return [];
+        const ran = elapsedS(a, now);
+        const canCheckpoint = a.phase === 'running' && !a.eviction && job.checkpointS > 0 && ran >= STAY_S;
+        const remainingS = Math.max(shard.runTimes.runS(job) - ran, ran * OVERDUE_GOES_ON);
+        return [{ key: a.key, job, remainingS, canCheckpoint }];
       });
       const { id, type, record } = m;
-      machines.push({ id, type, zone: record.zone, spot: record.spot, free: m.free(), tasks });
+      machines.push({ id, type, zone: record.zone, spot: record.spot, free: m.freeResources(), tasks });
     }
-    const warmCpus = totalCpus * this.deps.settings.operator.warm_share;
+    const warmCpus = totalCpus * this.context.settings.operator.warm_share;
     for (const { machine: id, tasks } of chooseConsolidation({ machines, warmCpus })) {
       const machine = shard.machines.get(id);
       if (!machine) continue;
-      machine.leaving = 'sparse';
-      this.deps.log.info({ machine: id, tasks: tasks.length }, 'machine emptied');
+      machine.drainReason = 'underused';
+      this.context.log.info({ machine: id, tasks: tasks.length }, 'machine emptied');
       for (const key of tasks) {
         const attempt = machine.attempts.get(key);
         const job = attempt && shard.tables.get(attempt.job)?.job;
-        if (job) this.attempts.want(machine, attempt, job.saveS);
+        if (job) this.attempts.evict(machine, attempt, job.saveS);
       }
     }
   }
 
   /** Machines that are of no more use. */
   #retire(now: number): void {
-    const lateFactor = this.deps.settings.operator.late_boot_factor;
+    const lateFactor = this.context.settings.operator.late_boot_factor;
     for (const machine of this.shard.machines.values()) {
-      if (machine.leaving !== undefined) continue;
+      if (machine.drainReason !== undefined) continue;
       const lateAt = machine.knownSince + machine.type.bootS * lateFactor * 1000;
-      const deadAt = machine.deadAt(this.shard.timing.leaseMs);
+      const deadAt = machine.leaseExpiresAt(this.shard.timing.leaseMs);
       // Within the limit on changes, recording thousands of machines as up takes minutes: those that report aren't late.
-      if (!machine.up && !machine.hasReported && now > lateAt) machine.leaving = 'late';
-      else if (machine.up && !machine.busy && now > deadAt + GIVE_UP_AFTER_LEASE_MS) {
-        machine.leaving = 'silent';
+      if (!machine.isUp && !machine.hasSentHeartbeat && now > lateAt) machine.drainReason = 'late boot';
+      else if (machine.isUp && !machine.isBusy && now > deadAt + GIVE_UP_AFTER_LEASE_MS) {
+        machine.drainReason = 'unresponsive';
       }
     }
   }
 
   #longestBootMs(): number {
-    return Math.max(0, ...this.deps.types().map((t) => t.bootS)) * 1000;
+    return Math.max(0, ...this.context.types().map((t) => t.bootS)) * 1000;
   }
 
-  fleetInput(refused: (option: RentOption) => boolean): FleetInput | undefined {
+  scalingInput(refused: (option: InstanceOption) => boolean): ScalingInput | undefined {
     const { shard } = this;
-    if (!this.#completeOnce || (!shard.allKnown && this.#unplaced.size === 0)) return undefined;
-    const { clock, settings } = this.deps;
+    if (!this.#completeOnce || (!shard.areAllMachinesConfirmed && this.#unplaced.size === 0))
+      return undefined;
+    const { clock, settings } = this.context;
     const now = clock.now();
     const machines: FleetMachine[] = [];
     let freeCpus = 0;
     let totalCpus = 0;
     let freeingCpus = 0;
     for (const m of shard.machines.values()) {
-      if (m.leaving !== undefined || m.releasing) continue;
-      const usable = shard.usable(m, now);
-      const idle = m.up && m.attempts.size === 0 && usable;
+      if (m.drainReason !== undefined || m.isReturnRequested) continue;
+      const usable = shard.isSchedulable(m, now);
+      const idle = m.isUp && m.attempts.size === 0 && usable;
       machines.push({
-        ...{ id: m.id, type: m.type, zone: m.record.zone, spot: m.record.spot, booting: !m.up },
+        ...{ id: m.id, type: m.type, zone: m.record.zone, spot: m.record.spot, booting: !m.isUp },
         ageMs: now - m.knownSince,
         idleMs: idle ? now - m.idleSince : 0,
       });
-      if (!m.up) continue;
+      if (!m.isUp) continue;
       totalCpus += m.type.cpus;
       if (usable) freeCpus += Math.max(0, m.freeCpus);
       for (const a of m.attempts.values()) {
         const table = shard.tables.get(a.job);
-        if (!holdsRoom(a) || !table) continue;
-        const endsMs = (shard.estimates.runS(table.job) - ranS(a, now)) * 1000;
-        if (endsMs < m.type.bootS * 1000 * settings.operator.rent_patience) freeingCpus += a.needs.cpus;
+        if (!occupiesResources(a) || !table) continue;
+        const endsMs = (shard.runTimes.runS(table.job) - elapsedS(a, now)) * 1000;
+        if (endsMs < m.type.bootS * 1000 * settings.operator.rent_patience) freeingCpus += a.resources.cpus;
       }
     }
     const unplaced = [...this.#unplaced].flatMap(([id, count]) => {
@@ -421,17 +449,17 @@
           count: Math.min(count, table.unassigned),
           urgent,
           slackMs,
-          zones: shard.holdings.zonesOf(id),
+          zones: shard.usage.zonesOf(id),
         },
       ];
     });
     const warmCpus = totalCpus * settings.operator.warm_share;
     const idleReleaseMs = settings.operator.idle_release_s * 1000;
-    const types = this.deps.types();
-    const allMayStart = shard.allKnown;
+    const types = this.context.types();
+    const allMayStart = shard.areAllMachinesConfirmed;
     return {
-      ...{ unplaced, machines, types, refused, freeingCpus },
-      ...{ idleReleaseMs, allMayStart, warmCpus, freeCpus },
+      ...{ unplaced, machines, types, isBackedOff: refused, freeingCpus },
+      ...{ idleReleaseMs, mayAllStart: allMayStart, warmCpus, freeCpus },
     };
   }
 }
--- a/src/coordination/shard/recorder.ts
+++ b/src/coordination/shard/completion-recorder.ts
@@ -3,12 +3,12 @@
 import { shardCount } from '../../bookkeeping/shard-count';
 import { completionLayout, groupByRecord, readCompletions } from '../../bookkeeping/completion-records';
 import { KEY, type FinalRecord } from '../../bookkeeping/records';
-import type { Change, Condition } from '../../protocol/state';
-import type { NodeContext } from '../node-context';
+import type { Change, Condition } from '../../protocol/key-value-store';
+import type { ControllerContext } from '../controller-context';
 import type { DispatchTable } from './dispatch-table';
 
 /** What the recorder needs of the shard. */
-export interface Recorded {
+export interface RecorderShard {
   readonly tables: ReadonlyMap<string, DispatchTable>;
   readonly entitled: boolean;
   /** The condition that proves, inside every transaction, that we still own the shard. */
@@ -16,10 +16,10 @@
   /** The job is over: done or cancelled. */
   closeJob(id: string): void;
   /** Recorded completions may now be forgotten by their workers. */
-  recordedMore(): void;
+  onCompletionsRecorded(): void;
 }
 
-interface Part {
+interface RecordBatchItem {
   table: DispatchTable;
   tasks: number[];
   /** Keys of the completion records that it writes or deletes. */
@@ -39,15 +39,15 @@
 const BITMAPS_PART = 0.25;
 
 /** Writes completions to the state service in batches: one transaction covers many jobs. */
-export class Recorder {
+export class CompletionRecorder {
   readonly #wake: WakeSignal;
   #bitmapsAt = -Infinity;
 
   constructor(
-    private readonly shard: Recorded,
-    private readonly deps: NodeContext,
+    private readonly shard: RecorderShard,
+    private readonly context: ControllerContext,
   ) {
-    this.#wake = new WakeSignal(deps.clock);
+    this.#wake = new WakeSignal(context.clock);
   }
 
   wake(): void {
@@ -57,12 +57,12 @@
   /** One step; to be run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
     await this.#wake.wait(1000);
-    await this.deps.clock.sleep(GATHER_MS, signal);
+    await this.context.clock.sleep(GATHER_MS, signal);
     if (signal.aborted || !this.shard.entitled) return;
-    const now = this.deps.clock.now();
+    const now = this.context.clock.now();
     const parts = this.#collect(now);
     if (parts.length > 0 && !(await this.#write(parts))) {
-      await this.deps.clock.sleep(PAUSE_AFTER_TROUBLE_MS, signal);
+      await this.context.clock.sleep(PAUSE_AFTER_TROUBLE_MS, signal);
     }
     this.#wakeForMore();
   }
@@ -81,18 +81,18 @@
    * Jobs that are complete come first: their users wait for them. Bitmaps of the others go out at a pace that leaves
    * most of the limit on changes to what users ask for, those that have waited longest first.
    */
-  #collect(now: number): Part[] {
-    const { state } = this.deps.settings.platform.deployment;
+  #collect(now: number): RecordBatchItem[] {
+    const { state } = this.context.settings.platform.deployment;
     const mostChanges = changesAtOnce(state);
-    const { flush_ms } = this.deps.settings.operator;
-    const shards = shardCount(this.deps.cache, this.deps.settings);
+    const { flush_ms } = this.context.settings.operator;
+    const shards = shardCount(this.context.cache, this.context.settings);
     const dirty = [...this.shard.tables.values()].filter((t) => t.unrecorded.size > 0);
     const complete = dirty.filter((t) => t.remaining === 0);
     const others = now - this.#bitmapsAt < flush_ms ? [] : dirty.filter((t) => t.remaining > 0);
-    others.sort((a, b) => a.recordedAt - b.recordedAt);
+    others.sort((a, b) => a.lastRecordedAt - b.lastRecordedAt);
     let bitmaps = Math.max(1, Math.floor(((state.write_rps * BITMAPS_PART) / shards) * (flush_ms / 1000)));
     if (others.length > 0) this.#bitmapsAt = now;
-    const parts: Part[] = [];
+    const parts: RecordBatchItem[] = [];
     let changes = 0;
     let bytes = 0;
     for (const table of [...complete, ...others]) {
@@ -106,7 +106,7 @@
       const isTooMuch = changes + part.changes.length > mostChanges || bytes + size > MAX_VALUE_BYTES;
       if (parts.length > 0 && isTooMuch) break;
       parts.push(part);
-      table.recordedAt = now;
+      table.lastRecordedAt = now;
       changes += part.changes.length;
       bytes += size;
       if (!isFinal) bitmaps -= part.changes.length;
@@ -114,9 +114,9 @@
     return parts;
   }
 
-  #finalPart(table: DispatchTable): Part {
+  #finalPart(table: DispatchTable): RecordBatchItem {
     const { id, tasks } = table.job;
-    const final = this.deps.jobs.finalRecord('done', tasks);
+    const final = this.context.jobs.finalRecord('done', tasks);
     // The last completions and the final state are one write, guarded on the record that a cancellation deletes.
     const conditions: Condition[] = [
       { key: KEY.job(id), version: table.version },
@@ -124,7 +124,7 @@
     ];
     const changes: Change[] = [{ put: KEY.final(id), value: final }, { delete: KEY.job(id) }];
     // What doesn't fit is left to the leader, which deletes completions of jobs that are over.
-    const { state } = this.deps.settings.platform.deployment;
+    const { state } = this.context.settings.platform.deployment;
     const room = Math.max(0, changesAtOnce(state) - changes.length);
     const deleted = [...table.recordVersions].slice(0, room);
     for (const [key, version] of deleted) {
@@ -136,12 +136,12 @@
   }
 
   /** Records completions in at most so many records, those first whose completions have waited longest. */
-  #bitmapPart(table: DispatchTable, mostRecords: number): Part {
+  #bitmapPart(table: DispatchTable, mostRecords: number): RecordBatchItem {
     const { job } = table;
-    const { state } = this.deps.settings.platform.deployment;
+    const { state } = this.context.settings.platform.deployment;
     const bytes = valueBytes(state);
     const fitting = Math.max(1, Math.floor(MAX_VALUE_BYTES / bytes));
-    const layout = completionLayout(job, bytes, this.deps.formatGate.isOpen);
+    const layout = completionLayout(job, bytes, this.context.formatGate.isOpen);
     const groups = groupByRecord(job, table.unrecorded, layout).slice(
       0,
       Math.min(changesAtOnce(state, mostRecords), fitting),
@@ -157,9 +157,9 @@
     return { table, tasks, recordKeys, final: undefined, conditions, changes };
   }
 
-  async #write(parts: Part[]): Promise<boolean> {
+  async #write(parts: RecordBatchItem[]): Promise<boolean> {
     const conditions = [this.shard.leaseCondition(), ...parts.flatMap((p) => p.conditions)];
-    const result = await this.deps.store.compareAndSwap(
+    const result = await this.context.store.compareAndSwap(
       conditions,
       parts.flatMap((p) => p.changes),
     );
@@ -170,16 +170,16 @@
     for (const part of parts) {
       const { id } = part.table.job;
       if (part.final) {
-        this.deps.jobs.rememberFinal(id, part.final);
-        this.deps.log.info({ job: id, tasks: part.table.job.tasks }, 'job done');
-        this.deps.publish({ key: KEY.job(id), version: result.revision, deleted: true });
+        this.context.jobs.rememberFinal(id, part.final);
+        this.context.log.info({ job: id, tasks: part.table.job.tasks }, 'job done');
+        this.context.publish({ key: KEY.job(id), version: result.revision, deleted: true });
         this.shard.closeJob(id);
       } else {
         for (const key of part.recordKeys) part.table.recordVersions.set(key, result.revision);
-        part.table.confirm(part.tasks);
+        part.table.markRecorded(part.tasks);
       }
     }
-    this.shard.recordedMore();
+    this.shard.onCompletionsRecorded();
     return true;
   }
 
@@ -187,21 +187,21 @@
    * A condition failed: a job was cancelled, or an earlier write of ours without an answer was applied after all.
    * What is there is read again and merged.
    */
-  async #settle(parts: Part[], failed: string[]): Promise<void> {
+  async #settle(parts: RecordBatchItem[], failed: string[]): Promise<void> {
     const keys = new Set(failed);
     for (const { table, recordKeys } of parts) {
       const { id } = table.job;
       if (keys.has(KEY.job(id)) || keys.has(KEY.final(id))) {
-        if (!(await this.deps.store.get(KEY.job(id)))) this.shard.closeJob(id);
+        if (!(await this.context.store.get(KEY.job(id)))) this.shard.closeJob(id);
         continue;
       }
       for (const key of recordKeys) {
         if (!keys.has(key)) continue;
-        const entry = await this.deps.store.get(key);
+        const entry = await this.context.store.get(key);
         const stored = readCompletions(key, entry?.value);
         if (entry && stored) table.mergeRecorded(key, stored, entry.version);
       }
     }
-    this.shard.recordedMore();
+    this.shard.onCompletionsRecorded();
   }
 }
--- a/src/coordination/shard/dispatch-table.ts
+++ b/src/coordination/shard/dispatch-table.ts
@@ -33,14 +33,14 @@
   readonly unrecorded = new Set<number>();
   /** The attempt that each issued task is on. */
   readonly issued = new Map<number, { machine: string; key: string }>();
-  readonly errorMachines = new Set<string>();
+  readonly failedMachines = new Set<string>();
   readonly #failedAt = new Map<string, number>();
   retryAt = 0;
   /** When its completions were last written, or were to be. */
-  recordedAt = -Infinity;
+  lastRecordedAt = -Infinity;
   #job: Job;
   readonly #ownPriority: Priority;
-  #errorsInRow = 0;
+  #consecutiveFailures = 0;
   #unassigned: number;
   /** No task below this one is unassigned. */
   #lowest = 0;
@@ -103,7 +103,7 @@
   }
 
   /** The attempt is gone without a completion. True: its task is unassigned again. */
-  lost(task: number, key: string): boolean {
+  markLost(task: number, key: string): boolean {
     if (this.issued.get(task)?.key !== key) return false;
     this.issued.delete(task);
     if (this.#states[task] !== ISSUED) return false;
@@ -132,7 +132,7 @@
   }
 
   /** The state service has acknowledged these completions. */
-  confirm(tasks: readonly number[]): void {
+  markRecorded(tasks: readonly number[]): void {
     for (const task of tasks) {
       this.recorded.set(task);
       this.unrecorded.delete(task);
@@ -150,31 +150,31 @@
     this.issued.delete(task);
   }
 
-  succeeded(): void {
-    this.#errorsInRow = 0;
-    this.errorMachines.clear();
+  onTaskSucceeded(): void {
+    this.#consecutiveFailures = 0;
+    this.failedMachines.clear();
     this.#failedAt.clear();
     this.retryAt = 0;
   }
 
   /** After failures on several machines the job is retried with growing pauses, until its user cancels it. */
-  failed(machine: string, now: number): void {
-    this.errorMachines.add(machine);
+  onTaskFailed(machine: string, now: number): void {
+    this.failedMachines.add(machine);
     this.#failedAt.set(machine, now);
-    this.#errorsInRow += 1;
-    if (this.errorMachines.size < 2 || this.done > 0) return;
-    const pause = FIRST_PAUSE_MS * 2 ** Math.min(this.#errorsInRow - 2, 10);
+    this.#consecutiveFailures += 1;
+    if (this.failedMachines.size < 2 || this.done > 0) return;
+    const pause = FIRST_PAUSE_MS * 2 ** Math.min(this.#consecutiveFailures - 2, 10);
     this.retryAt = now + Math.min(LONGEST_PAUSE_MS, pause);
   }
 
   /** Machines that get no task of the job now. */
-  avoided(now: number): ReadonlySet<string> {
+  machinesToAvoid(now: number): ReadonlySet<string> {
     if (this.#failedAt.size === 0) return NONE;
     return new Set([...this.#failedAt].filter(([, at]) => now - at < AVOID_MS).map(([machine]) => machine));
   }
 
   /** Whether failures of its tasks say nothing about the machines that they ran on. */
-  get suspect(): boolean {
-    return this.done === 0 && this.errorMachines.size >= MACHINES_TO_BLAME_JOB;
+  get isJobSuspect(): boolean {
+    return this.done === 0 && this.failedMachines.size >= MACHINES_TO_BLAME_JOB;
   }
 }
--- a/src/coordination/shard/up-records.ts
+++ b/src/coordination/shard/machine-registration.ts
@@ -2,16 +2,16 @@
 import { describeError } from '../../base/loop';
 import { changesAtOnce } from '../../base/state-limits';
 import { KEY, type MachineRecord } from '../../bookkeeping/records';
-import type { Condition } from '../../protocol/state';
+import type { Condition } from '../../protocol/key-value-store';
 import type { Shard } from './shard';
-import type { NodeContext } from '../node-context';
+import type { ControllerContext } from '../controller-context';
 import type { Machine } from './machine';
 
 const GATHER_MS = 40;
 const MOST_AT_ONCE = 12;
 
 /** What became of the record of a machine. `conflict`: somebody else has recorded it. */
-export type RecordOutcome = 'recorded' | 'conflict' | 'failed';
+export type RegistrationOutcome = 'recorded' | 'conflict' | 'failed';
 
 /** A machine of the shard, or the record of a rental that was never written. */
 type RecordSubject = { kind: 'known'; machine: Machine } | { kind: 'rental'; record: MachineRecord };
@@ -21,8 +21,8 @@
   readonly id: string;
   readonly address: string;
   readonly subject: RecordSubject;
-  readonly promise: Promise<RecordOutcome>;
-  resolve(outcome: RecordOutcome): void;
+  readonly promise: Promise<RegistrationOutcome>;
+  resolve(outcome: RegistrationOutcome): void;
 }
 
 /** One record of a transaction. */
@@ -39,13 +39,13 @@
  * A machine may be up before the record of its rental was written, as the limit on changes allows only dozens a second:
  * one write then records both.
  */
-export class UpRecords {
+export class MachineRegistration {
   readonly #pending = new Map<string, PendingRecord>();
   #writing = false;
 
   constructor(
     private readonly shard: Shard,
-    private readonly deps: NodeContext,
+    private readonly context: ControllerContext,
   ) {}
 
   /** How many records are still to be written. */
@@ -54,20 +54,20 @@
   }
 
   /** Records that a machine of the shard is up. Resolves to true when that is done. */
-  async record(machine: Machine, address: string): Promise<boolean> {
+  async register(machine: Machine, address: string): Promise<boolean> {
     return (await this.#enqueue(machine.id, address, { kind: 'known', machine })) === 'recorded';
   }
 
   /** Records a machine that was rented for the shard and has no record yet, as up. */
-  recordRental(id: string, address: string, record: MachineRecord): Promise<RecordOutcome> {
+  registerUnrecorded(id: string, address: string, record: MachineRecord): Promise<RegistrationOutcome> {
     return this.#enqueue(id, address, { kind: 'rental', record });
   }
 
-  #enqueue(id: string, address: string, subject: RecordSubject): Promise<RecordOutcome> {
+  #enqueue(id: string, address: string, subject: RecordSubject): Promise<RegistrationOutcome> {
     const pending = this.#pending.get(id);
     if (pending) return pending.promise;
-    let resolve: (outcome: RecordOutcome) => void = () => undefined;
-    const promise = new Promise<RecordOutcome>((r) => {
+    let resolve: (outcome: RegistrationOutcome) => void = () => undefined;
+    const promise = new Promise<RegistrationOutcome>((r) => {
       resolve = r;
     });
     this.#pending.set(id, { id, address, subject, promise, resolve });
@@ -77,9 +77,9 @@
 
   async #writeAll(): Promise<void> {
     this.#writing = true;
-    await this.deps.clock.sleep(GATHER_MS);
+    await this.context.clock.sleep(GATHER_MS);
     while (this.#pending.size > 0) {
-      const most = changesAtOnce(this.deps.settings.platform.deployment.state, MOST_AT_ONCE);
+      const most = changesAtOnce(this.context.settings.platform.deployment.state, MOST_AT_ONCE);
       const batch = [...this.#pending.values()].slice(0, most);
       const outcomes = await this.#write(batch);
       for (const pending of batch) {
@@ -91,8 +91,8 @@
   }
 
   /** Writes the records of a batch; those that aren't named in the result were not written. */
-  async #write(batch: readonly PendingRecord[]): Promise<Map<PendingRecord, RecordOutcome>> {
-    const outcomes = new Map<PendingRecord, RecordOutcome>();
+  async #write(batch: readonly PendingRecord[]): Promise<Map<PendingRecord, RegistrationOutcome>> {
+    const outcomes = new Map<PendingRecord, RegistrationOutcome>();
     try {
       let open = batch.flatMap((pending) => this.#prepare(pending) ?? []);
       while (open.length > 0) {
@@ -108,7 +108,7 @@
         open = open.filter((write) => !conflicts.includes(write));
       }
     } catch (error) {
-      this.deps.log.info({ err: describeError(error) }, 'machines could not be recorded as up');
+      this.context.log.info({ err: describeError(error) }, 'machines could not be recorded as up');
     }
     return outcomes;
   }
@@ -116,7 +116,7 @@
   #prepare(pending: PendingRecord): RecordWrite | undefined {
     const { id, address, subject } = pending;
     const key = KEY.machine(id);
-    const version = this.deps.cache.version(key);
+    const version = this.context.cache.version(key);
     const isRental = subject.kind === 'rental';
     // A rental that has a record meanwhile is known to the shard; a known machine without one was returned while it
     // waited, and a condition on its absence would bring it back, as up.
@@ -127,7 +127,7 @@
 
   /** One transaction. Undefined: it was carried out; otherwise the keys whose conditions failed. */
   async #writeTogether(writes: readonly RecordWrite[]): Promise<string[] | undefined> {
-    const result = await this.deps.store.compareAndSwap(
+    const result = await this.context.store.compareAndSwap(
       [this.shard.leaseCondition(), ...writes.map(({ condition }) => condition)],
       writes.map(({ condition, value }) => ({ put: condition.key, value })),
     );
@@ -139,20 +139,20 @@
   #recorded({ pending, condition, value }: RecordWrite, version: number): void {
     const { subject, id } = pending;
     if (subject.kind === 'rental') {
-      this.deps.publish({ key: condition.key, version, value, deleted: false });
+      this.context.publish({ key: condition.key, version, value, deleted: false });
     }
     const machine = subject.kind === 'rental' ? this.shard.machines.get(id) : subject.machine;
     if (!machine) return;
-    machine.up = true;
+    machine.isUp = true;
     machine.record.address = pending.address;
-    machine.idleSince = this.deps.clock.now();
+    machine.idleSince = this.context.clock.now();
     // It was rented for this shard and had no record until now, so nobody can have answered it: it holds nothing.
     if (subject.kind === 'rental') {
       machine.wasNeverAnswered = true;
-      this.shard.settle(machine);
+      this.shard.confirm(machine);
     }
     const ageS = Math.round((machine.idleSince - machine.knownSince) / 1000);
     const { type, record } = machine;
-    this.deps.log.info({ machine: id, type: type.name, zone: record.zone, ageS }, 'machine up');
+    this.context.log.info({ machine: id, type: type.name, zone: record.zone, ageS }, 'machine up');
   }
 }
--- a/src/coordination/shard/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -8,40 +8,40 @@
   type Resources,
 } from '../../protocol/model';
 
-/** `sent`: a start has left, or is about to, and no message of the worker has shown the attempt yet. */
-export type Phase = 'sent' | 'fetching' | 'running' | 'saving' | 'exited';
+/** `starting`: a start has left, or is about to, and no message of the worker has shown the attempt yet. */
+export type Phase = 'starting' | 'fetching' | 'running' | 'checkpointing' | 'exited';
 
 /** Added to a worker's lease before its silence counts as its tasks' end. */
-const DEAD_MARGIN_MS = 500;
-const AVOID_MS = 2_000;
+const LEASE_EXPIRY_MARGIN_MS = 500;
+const BACKOFF_MS = 2_000;
 
 export interface Attempt {
   readonly key: string;
   readonly job: string;
   readonly task: number;
-  readonly attempt: number;
-  readonly needs: Resources;
+  readonly number: number;
+  readonly resources: Resources;
   readonly team: string;
   readonly image: string;
   readonly imageGb: number;
   /** It was given room out of turn because its job had waited too long; nothing is to stop it for others. */
-  readonly aged: boolean;
+  readonly isBoosted: boolean;
   phase: Phase;
-  cause: ExitCause | null;
+  exitCause: ExitCause | null;
   saved: boolean;
   sentAt: number;
   runningSince: number | undefined;
   /** A command that carries the start has been sent at least once. */
-  posted: boolean;
+  wasSent: boolean;
   /** A command that carries the start is out and not answered yet. */
-  inFlight: boolean;
+  isStartInFlight: boolean;
   /** Wanted gone. */
-  stop: { graceS: number; since: number } | undefined;
+  eviction: { graceS: number; since: number } | undefined;
   /** Since when its owner knows that its job is over. */
-  endedSince?: number;
+  jobEndedAt?: number;
 }
 
-export interface Change {
+export interface AttemptChange {
   kind: 'found' | 'running' | 'exited' | 'gone';
   attempt: Attempt;
 }
@@ -57,24 +57,27 @@
   return Math.floor(attempt / ATTEMPTS_PER_TOKEN);
 }
 
-export function holdsRoom(attempt: Attempt): boolean {
+export function occupiesResources(attempt: Attempt): boolean {
   return attempt.phase !== 'exited';
 }
 
 /** How long the attempt has run, as far as its owner saw. */
-export function ranS(attempt: Attempt, now: number): number {
+export function elapsedS(attempt: Attempt, now: number): number {
   return attempt.runningSince === undefined ? 0 : (now - attempt.runningSince) / 1000;
 }
 
 /** Told of every attempt that comes to hold room on a machine, and of every one that no longer does. */
-export interface RoomWatcher {
-  took(machine: Machine, attempt: Attempt): void;
-  freed(machine: Machine, attempt: Attempt): void;
+export interface OccupancyListener {
+  onOccupied(machine: Machine, attempt: Attempt): void;
+  onReleased(machine: Machine, attempt: Attempt): void;
 }
 
+/** Why a machine takes no more tasks and is returned as soon as it may be. */
+export type DrainReason = 'idle' | 'spot notice' | 'unresponsive' | 'late boot' | 'quarantined' | 'underused';
+
 /** What is known of a job whose attempt a worker reports. */
-export interface Described {
-  needs: Resources;
+export interface TaskDescription {
+  resources: Resources;
   team: string;
   image: string;
   imageGb: number;
@@ -90,49 +93,49 @@
   sequence = -1;
   fencingTokenSeen = 0;
   /** Steady time of the last report that was newer than what we knew. */
-  heardAt: number | undefined;
+  lastHeartbeatAt: number | undefined;
   /** The worker's lease can't have begun later: no report sent after this was answered, and no session is younger. */
-  answeredAt: number;
+  latestLeaseStart: number;
   /**
    * The last answer to a report that was news. An answer to a late copy reaches nobody, so it may not count for the
    * worker's life; it does count, in `answeredAt`, for how long its tasks may live.
    */
-  renewedAt: number;
+  lastRenewalAt: number;
   /**
    * Since when it has shown no sign of hearing us, though its reports may arrive: a command went unanswered, or its
    * lease ran out though we answered its reports. Until a command is answered, no start leaves for it.
    */
-  deafSince: number | undefined;
+  unresponsiveSince: number | undefined;
   /** The session that an unproven report named: good enough to address a question, and for nothing else. */
   unverifiedIncarnation = 0;
   /** How many reports came since the takeover that may have been copies from before it. */
-  unproven = 0;
+  unverifiedHeartbeats = 0;
   /** Since when this owner knows it. */
   readonly firstSeenAt: number;
-  probedAt = -Infinity;
+  lastProbeAt = -Infinity;
   /** The last command to it was not answered, whether it arrived or not. */
-  unanswered = false;
+  isLastCommandUnanswered = false;
   /** A message showed our token: nothing that an earlier owner sent can still start here. */
-  settled = false;
-  noticeUntil: number | undefined;
-  up: boolean;
+  isConfirmed = false;
+  spotNoticeDeadline: number | undefined;
+  isUp: boolean;
   /** No owner before this one can have answered it, so that its first report is no copy from before. */
   wasNeverAnswered: boolean;
   /** Its worker has reported: while it isn't `up`, only the record of that is missing. */
-  hasReported = false;
+  hasSentHeartbeat = false;
   idleSince: number;
   /** Images that it should hold, least recently used first, and their sizes; bounded by the type's cache. */
-  readonly images = new Map<string, number>();
+  readonly cachedImages = new Map<string, number>();
   /** Jobs whose tasks failed here since the last success. */
-  readonly errorJobs = new Set<string>();
-  errorsInRow = 0;
-  sick = false;
+  readonly failedJobs = new Set<string>();
+  consecutiveFailures = 0;
+  isQuarantined = false;
   /** Not to be used any more; released as soon as it may be. */
-  leaving: string | undefined;
-  releasing = false;
+  drainReason: DrainReason | undefined;
+  isReturnRequested = false;
   /** The cloud confirmed its end: late copies of its reports must bring nothing back. */
-  gone = false;
-  #avoidUntil = 0;
+  isTerminated = false;
+  #backoffUntil = 0;
 
   constructor(
     readonly id: string,
@@ -141,55 +144,55 @@
     /** When the previous owner can last have answered it. */
     takenAt: number,
     readonly knownSince: number,
-    private readonly watcher?: RoomWatcher,
+    private readonly watcher?: OccupancyListener,
   ) {
-    this.answeredAt = takenAt;
-    this.renewedAt = takenAt;
+    this.latestLeaseStart = takenAt;
+    this.lastRenewalAt = takenAt;
     this.firstSeenAt = takenAt;
-    this.up = record.up;
+    this.isUp = record.up;
     this.wasNeverAnswered = !record.up;
     this.idleSince = takenAt;
     // A machine that was never answered and never sent a command can't hold a task.
-    this.settled = this.wasNeverAnswered;
+    this.isConfirmed = this.wasNeverAnswered;
   }
 
   /** From this time on the worker has killed and forgotten all that it had. */
-  deadAt(leaseMs: number): number {
-    return this.answeredAt + leaseMs * (1 + 2 * DRIFT) + DEAD_MARGIN_MS;
+  leaseExpiresAt(leaseMs: number): number {
+    return this.latestLeaseStart + leaseMs * (1 + 2 * DRIFT) + LEASE_EXPIRY_MARGIN_MS;
   }
 
-  isSilent(now: number, missedMs: number): boolean {
-    return now - (this.heardAt ?? this.firstSeenAt) > missedMs;
+  hasMissedHeartbeats(now: number, missedMs: number): boolean {
+    return now - (this.lastHeartbeatAt ?? this.firstSeenAt) > missedMs;
   }
 
   /** Whether tasks may be started here. */
-  mayStart(now: number, leaseMs: number, missedMs: number): boolean {
+  isSchedulable(now: number, leaseMs: number, missedMs: number): boolean {
     return (
-      this.up &&
-      this.settled &&
-      this.leaving === undefined &&
-      !this.sick &&
-      now >= this.#avoidUntil &&
+      this.isUp &&
+      this.isConfirmed &&
+      this.drainReason === undefined &&
+      !this.isQuarantined &&
+      now >= this.#backoffUntil &&
       // Its reports may arrive while nothing reaches it: what is issued there would be stuck until its lease ends.
-      this.deafSince === undefined &&
+      this.unresponsiveSince === undefined &&
       // An answer to a command shows that the worker is there, but only an answered report renews its lease. What is
       // issued to a worker whose lease has run out by our count would be dropped at once, though it starts.
-      now < this.renewedAt + leaseMs &&
-      this.heardAt !== undefined &&
-      now - this.heardAt <= missedMs
+      now < this.lastRenewalAt + leaseMs &&
+      this.lastHeartbeatAt !== undefined &&
+      now - this.lastHeartbeatAt <= missedMs
     );
   }
 
   /** No starts for a while, after one that was refused or could not be delivered. */
-  avoid(now: number): void {
-    this.#avoidUntil = now + AVOID_MS;
+  backOff(now: number): void {
+    this.#backoffUntil = now + BACKOFF_MS;
   }
 
   get attempts(): ReadonlyMap<string, Attempt> {
     return this.#attempts;
   }
 
-  free(): Resources {
+  freeResources(): Resources {
     return {
       cpus: this.type.cpus - this.#used.cpus,
       gpus: this.type.gpus - this.#used.gpus,
@@ -201,51 +204,51 @@
     return this.type.cpus - this.#used.cpus;
   }
 
-  get busy(): boolean {
+  get isBusy(): boolean {
     return this.#holding > 0;
   }
 
   /** Puts an attempt on the machine: issued by us, or found in a report. */
-  put(attempt: Attempt): void {
+  addAttempt(attempt: Attempt): void {
     this.#attempts.set(attempt.key, attempt);
-    if (holdsRoom(attempt)) this.#take(attempt);
+    if (occupiesResources(attempt)) this.#occupy(attempt);
   }
 
-  useImage(image: string, gb: number): void {
-    this.images.delete(image);
-    this.images.set(image, gb);
+  touchImage(image: string, gb: number): void {
+    this.cachedImages.delete(image);
+    this.cachedImages.set(image, gb);
     let total = 0;
-    for (const size of this.images.values()) total += size;
-    for (const [oldest, size] of this.images) {
+    for (const size of this.cachedImages.values()) total += size;
+    for (const [oldest, size] of this.cachedImages) {
       if (total <= this.type.cacheGb || oldest === image) break;
-      this.images.delete(oldest);
+      this.cachedImages.delete(oldest);
       total -= size;
     }
   }
 
-  #take(attempt: Attempt): void {
+  #occupy(attempt: Attempt): void {
     this.#holding += 1;
-    this.#used.cpus += attempt.needs.cpus;
-    this.#used.gpus += attempt.needs.gpus;
-    this.#used.memoryGb += attempt.needs.memoryGb;
-    this.watcher?.took(this, attempt);
+    this.#used.cpus += attempt.resources.cpus;
+    this.#used.gpus += attempt.resources.gpus;
+    this.#used.memoryGb += attempt.resources.memoryGb;
+    this.watcher?.onOccupied(this, attempt);
   }
 
-  #give(attempt: Attempt): void {
+  #release(attempt: Attempt): void {
     this.#holding -= 1;
-    this.#used.cpus -= attempt.needs.cpus;
-    this.#used.gpus -= attempt.needs.gpus;
-    this.#used.memoryGb -= attempt.needs.memoryGb;
+    this.#used.cpus -= attempt.resources.cpus;
+    this.#used.gpus -= attempt.resources.gpus;
+    this.#used.memoryGb -= attempt.resources.memoryGb;
     // Sums of decimals drift; an empty machine is empty.
     if (this.#holding === 0) Object.assign(this.#used, { cpus: 0, gpus: 0, memoryGb: 0 });
-    this.watcher?.freed(this, attempt);
+    this.watcher?.onReleased(this, attempt);
   }
 
   #enter(attempt: Attempt, phase: Phase): void {
-    const held = holdsRoom(attempt);
+    const held = occupiesResources(attempt);
     attempt.phase = phase;
-    if (held && !holdsRoom(attempt)) this.#give(attempt);
-    else if (!held && holdsRoom(attempt)) this.#take(attempt);
+    if (held && !occupiesResources(attempt)) this.#release(attempt);
+    else if (!held && occupiesResources(attempt)) this.#occupy(attempt);
   }
 
   /** Whether this message is newer than all that we know of the worker. */
@@ -264,30 +267,30 @@
     heartbeat: WorkerHeartbeat,
     now: number,
     leaseMs: number,
-    describe: (job: string) => Described,
-  ): Change[] {
+    describe: (job: string) => TaskDescription,
+  ): AttemptChange[] {
     if (!this.isNewer(heartbeat)) return [];
-    const changes: Change[] = [];
+    const changes: AttemptChange[] = [];
     if (heartbeat.incarnation > this.incarnation) {
       // A later session proves that everything of the earlier ones is gone, late commands for them included.
-      changes.push(...this.dropAll());
+      changes.push(...this.dropAllAttempts());
       // We answered it not long ago, yet its lease ran out: our answers don't reach it.
-      if (this.incarnation > 0 && now - this.renewedAt < leaseMs / 2) this.deafSince ??= now;
+      if (this.incarnation > 0 && now - this.lastRenewalAt < leaseMs / 2) this.unresponsiveSince ??= now;
       this.incarnation = heartbeat.incarnation;
       // A session has a full lease from its beginning, which may be as late as now, though no report of it was ever
       // answered: counted from an earlier answer, its tasks would be taken for dead while they run.
-      this.answeredAt = Math.max(this.answeredAt, now);
-      this.renewedAt = now;
-      this.images.clear();
+      this.latestLeaseStart = Math.max(this.latestLeaseStart, now);
+      this.lastRenewalAt = now;
+      this.cachedImages.clear();
     }
     this.sequence = heartbeat.sequence;
     this.fencingTokenSeen = Math.max(this.fencingTokenSeen, heartbeat.fencingToken);
-    this.heardAt = now;
+    this.lastHeartbeatAt = now;
     if (heartbeat.spotNoticeS !== null) {
       const until = now + heartbeat.spotNoticeS * 1000;
-      this.noticeUntil = Math.min(this.noticeUntil ?? Infinity, until);
+      this.spotNoticeDeadline = Math.min(this.spotNoticeDeadline ?? Infinity, until);
     } else {
-      this.noticeUntil = undefined;
+      this.spotNoticeDeadline = undefined;
     }
     const reported = new Set<string>();
     for (const r of heartbeat.attempts) {
@@ -297,20 +300,20 @@
       if (!attempt) {
         const { job, task } = r;
         attempt = {
-          ...{ key, job, task, attempt: r.attempt, ...describe(job), aged: false },
-          ...{ phase: 'sent', cause: null, saved: false, sentAt: now, runningSince: undefined },
-          ...{ posted: true, inFlight: false, stop: undefined },
+          ...{ key, job, task, number: r.attempt, ...describe(job), isBoosted: false },
+          ...{ phase: 'starting', exitCause: null, saved: false, sentAt: now, runningSince: undefined },
+          ...{ wasSent: true, isStartInFlight: false, eviction: undefined },
         };
-        this.put(attempt);
+        this.addAttempt(attempt);
         changes.push({ kind: 'found', attempt });
       }
       if (r.phase === attempt.phase) continue;
       this.#enter(attempt, r.phase);
-      attempt.cause = r.cause;
+      attempt.exitCause = r.cause;
       attempt.saved = r.hasCheckpoint;
-      if (r.phase === 'running' || r.phase === 'saving') {
+      if (r.phase === 'running' || r.phase === 'checkpointing') {
         attempt.runningSince ??= now;
-        this.useImage(attempt.image, attempt.imageGb);
+        this.touchImage(attempt.image, attempt.imageGb);
         if (r.phase === 'running') changes.push({ kind: 'running', attempt });
       } else if (r.phase === 'exited') {
         changes.push({ kind: 'exited', attempt });
@@ -331,8 +334,8 @@
    */
   mayStillStart(attempt: Attempt): boolean {
     return (
-      attempt.inFlight ||
-      (attempt.phase === 'sent' && this.fencingTokenSeen <= fencingTokenOf(attempt.attempt))
+      attempt.isStartInFlight ||
+      (attempt.phase === 'starting' && this.fencingTokenSeen <= fencingTokenOf(attempt.number))
     );
   }
 
@@ -343,25 +346,25 @@
   mayForget(attempt: Attempt): boolean {
     return (
       attempt.phase === 'exited' &&
-      !attempt.inFlight &&
-      this.fencingTokenSeen > fencingTokenOf(attempt.attempt)
+      !attempt.isStartInFlight &&
+      this.fencingTokenSeen > fencingTokenOf(attempt.number)
     );
   }
 
   /** The start certainly never happened (refused, or never sent). */
-  neverStarted(key: string): Change | undefined {
+  discardUnstarted(key: string): AttemptChange | undefined {
     const attempt = this.#attempts.get(key);
-    if (attempt?.phase !== 'sent') return undefined;
+    if (attempt?.phase !== 'starting') return undefined;
     return this.#drop(attempt);
   }
 
-  dropAll(): Change[] {
+  dropAllAttempts(): AttemptChange[] {
     return [...this.#attempts.values()].map((attempt) => this.#drop(attempt));
   }
 
-  #drop(attempt: Attempt): Change {
+  #drop(attempt: Attempt): AttemptChange {
     this.#attempts.delete(attempt.key);
-    if (holdsRoom(attempt)) this.#give(attempt);
+    if (occupiesResources(attempt)) this.#release(attempt);
     return { kind: 'gone', attempt };
   }
 }
--- a/src/coordination/shard/health.ts
+++ b/src/coordination/shard/quarantine-policy.ts
@@ -11,21 +11,24 @@
  * Marks machines as sick. A machine is sick when tasks of several jobs fail there in a row, or repeatedly tasks of a job
  * that succeeds elsewhere. A job that is suspect itself, because it failed on several machines, counts against none.
  */
-export class Health {
+export class QuarantinePolicy {
   /** A task completed on the machine. */
-  succeeded(machine: Machine): void {
-    machine.errorsInRow = 0;
-    machine.errorJobs.clear();
+  onTaskSucceeded(machine: Machine): void {
+    machine.consecutiveFailures = 0;
+    machine.failedJobs.clear();
   }
 
   /** A task of the table's job failed on the machine. */
-  failed(machine: Machine, table: DispatchTable): void {
-    if (table.suspect) return;
-    machine.errorsInRow += 1;
-    machine.errorJobs.add(table.job.id);
+  onTaskFailed(machine: Machine, table: DispatchTable): void {
+    if (table.isJobSuspect) return;
+    machine.consecutiveFailures += 1;
+    machine.failedJobs.add(table.job.id);
     const proven = table.done > 0;
-    if (machine.errorJobs.size >= JOBS_WITH_ERRORS || (proven && machine.errorsInRow >= ERRORS_OF_ONE_JOB)) {
-      machine.sick = true;
+    if (
+      machine.failedJobs.size >= JOBS_WITH_ERRORS ||
+      (proven && machine.consecutiveFailures >= ERRORS_OF_ONE_JOB)
+    ) {
+      machine.isQuarantined = true;
     }
   }
 }
--- a/src/coordination/shard/holdings.ts
+++ b/src/coordination/shard/resource-usage.ts
@@ -1,5 +1,5 @@
-import type { Attempt, Machine, RoomWatcher } from './machine';
-import type { TeamUse } from '../scheduling/placement';
+import type { Attempt, Machine, OccupancyListener } from './machine';
+import type { TeamUsage } from '../scheduling/placement';
 
 const NO_ZONES: ReadonlyMap<string, number> = new Map();
 
@@ -7,26 +7,26 @@
  * What the attempts of a shard hold, summed up by team, by job and zone, and indexed by job. Kept up to date as
  * attempts come and go: with a thousand machines no round or message can afford to count again.
  */
-export class Holdings implements RoomWatcher {
+export class ResourceUsage implements OccupancyListener {
   readonly #teams = new Map<string, { cpus: number; gpus: number; tasks: number }>();
   readonly #zones = new Map<string, Map<string, number>>();
   readonly #jobs = new Map<string, Map<Attempt, Machine>>();
-  #agedCpus = 0;
-  #agedTasks = 0;
-  #nameless = 0;
+  #boostedCpus = 0;
+  #boostedTasks = 0;
+  #unattributedTasks = 0;
 
   /** Attempts of jobs that we know nothing of: whose limits they fill is not known until they are gone. */
-  get nameless(): number {
-    return this.#nameless;
+  get unattributedTasks(): number {
+    return this.#unattributedTasks;
   }
 
   /** CPUs of attempts that were given room out of turn. */
-  get agedCpus(): number {
-    return this.#agedCpus;
+  get boostedCpus(): number {
+    return this.#boostedCpus;
   }
 
   /** Attempts of a job that hold room, and where. */
-  ofJob(job: string): Iterable<[Attempt, Machine]> {
+  attemptsOf(job: string): Iterable<[Attempt, Machine]> {
     return this.#jobs.get(job) ?? [];
   }
 
@@ -35,17 +35,17 @@
   }
 
   /** What each team's tasks use, or may use: from before a start leaves until the attempt is known gone. */
-  use(): Map<string, TeamUse> {
+  byTeam(): Map<string, TeamUsage> {
     return new Map([...this.#teams].map(([team, { cpus, gpus }]) => [team, { cpus, gpus }]));
   }
 
-  took(machine: Machine, attempt: Attempt): void {
+  onOccupied(machine: Machine, attempt: Attempt): void {
     this.#count(machine, attempt, 1);
     const attempts = this.#jobs.get(attempt.job) ?? new Map<Attempt, Machine>();
     this.#jobs.set(attempt.job, attempts.set(attempt, machine));
   }
 
-  freed(machine: Machine, attempt: Attempt): void {
+  onReleased(machine: Machine, attempt: Attempt): void {
     this.#count(machine, attempt, -1);
     const attempts = this.#jobs.get(attempt.job);
     attempts?.delete(attempt);
@@ -55,15 +55,15 @@
   }
 
   #count(machine: Machine, attempt: Attempt, sign: 1 | -1): void {
-    const { team, job, needs } = attempt;
-    if (team === '') this.#nameless += sign;
-    if (attempt.aged) {
-      this.#agedTasks += sign;
-      this.#agedCpus = this.#agedTasks === 0 ? 0 : this.#agedCpus + sign * needs.cpus;
+    const { team, job, resources } = attempt;
+    if (team === '') this.#unattributedTasks += sign;
+    if (attempt.isBoosted) {
+      this.#boostedTasks += sign;
+      this.#boostedCpus = this.#boostedTasks === 0 ? 0 : this.#boostedCpus + sign * resources.cpus;
     }
     const sum = this.#teams.get(team) ?? { cpus: 0, gpus: 0, tasks: 0 };
-    sum.cpus += sign * needs.cpus;
-    sum.gpus += sign * needs.gpus;
+    sum.cpus += sign * resources.cpus;
+    sum.gpus += sign * resources.gpus;
     sum.tasks += sign;
     // Sums of decimals drift; a team without tasks uses nothing.
     if (sum.tasks === 0) this.#teams.delete(team);
--- a/src/coordination/shard/estimates.ts
+++ b/src/coordination/shard/run-time-estimates.ts
@@ -8,7 +8,7 @@
 const MAX_RATIO = 5;
 
 /** Ratios of real run time to the users' estimates, learned per job class as a moving average. */
-export class Estimates {
+export class RunTimeEstimates {
   readonly #ratios = new Map<string, number>();
 
   /** Takes in that a task of the job ran for so long. */
--- a/src/coordination/shard/shard-owner.ts
+++ b/src/coordination/shard/shard-owner.ts
@@ -3,22 +3,23 @@
 import { KEY, PREFIX, read } from '../../bookkeeping/records';
 import type { WorkerCommand, WorkerHeartbeat } from '../../protocol/model';
 import type { JobProgress } from '../../protocol/peers';
-import type { ChangeEvent, Condition } from '../../protocol/state';
+import type { ChangeEvent, Condition } from '../../protocol/key-value-store';
 import type { HandoverTrace } from '../../suspicion/handover-trace';
-import { Attempts } from './attempts';
+import { AttemptManager } from './attempt-manager';
 import { Shard, type ShardTenure } from './shard';
 import { summarizeShard } from './shard-summary';
-import { Commander } from './commander';
-import type { NodeContext } from '../node-context';
-import type { FleetInput, RentOption } from '../fleet/fleet';
-import { FleetManager } from '../fleet/fleet-manager';
+import { CommandDispatcher } from './command-dispatcher';
+import type { ControllerContext } from '../controller-context';
+import type { ScalingInput, InstanceOption } from '../autoscaling/scaling-plan';
+import { Autoscaler } from '../autoscaling/autoscaler';
+import { HeartbeatReconciler } from './heartbeat-reconciler';
 import type { Machine } from './machine';
 import { evictionsOfEndedJobs } from '../ownership/lease-relay';
 import { UNDECIDED, type OwnerResponse } from './owner-response';
-import { Recorder } from './recorder';
+import { CompletionRecorder } from './completion-recorder';
 import { Scheduler } from '../scheduling/scheduler';
-import { FencingTokenRaiser } from '../ownership/token';
-import { UpRecords } from './up-records';
+import { FencingTokenRaiser } from '../ownership/fencing-token-raiser';
+import { MachineRegistration } from './machine-registration';
 
 const TICK_MS = 250;
 const EVENTS_GATHER_MS = 4;
@@ -26,7 +27,7 @@
 const ROUND_PART = 4;
 const SUMMARY_MS = 10_000;
 /** So many reports of a machine are answered though they don't show the token that the answers carry. */
-const MAX_UNPROVEN = 3;
+const MAX_UNVERIFIED_HEARTBEATS = 3;
 
 /**
  * The owner of one shard. It holds what is wanted (jobs) and what is (machines and their attempts), and works out the
@@ -34,13 +35,14 @@
  */
 export class ShardOwner {
   readonly #shard: Shard;
-  readonly #attempts: Attempts;
-  readonly #commander: Commander;
+  readonly #attempts: AttemptManager;
+  readonly #commandDispatcher: CommandDispatcher;
+  readonly #reconciler: HeartbeatReconciler;
   readonly #scheduler: Scheduler;
   readonly #fencingTokenRaiser: FencingTokenRaiser;
-  readonly #upRecords: UpRecords;
-  readonly #recorder: Recorder;
-  readonly #fleet: FleetManager;
+  readonly #registration: MachineRegistration;
+  readonly #recorder: CompletionRecorder;
+  readonly #autoscaler: Autoscaler;
   readonly #wake: WakeSignal;
   readonly #stop = new AbortController();
   #handover: HandoverTrace | undefined;
@@ -49,39 +51,36 @@
 
   constructor(
     tenure: ShardTenure,
-    private readonly deps: NodeContext,
+    private readonly context: ControllerContext,
   ) {
-    this.#wake = new WakeSignal(deps.clock);
+    this.#wake = new WakeSignal(context.clock);
     const wake = (): void => {
       this.#wake.wake();
     };
-    this.#shard = new Shard(tenure, deps, wake);
-    this.#commander = new Commander(
+    this.#shard = new Shard(tenure, context, wake);
+    this.#commandDispatcher = new CommandDispatcher(
       this.#shard,
       () => this.#attempts,
-      deps,
-      (machine, heartbeat) => {
-        this.#reconcile(machine, heartbeat);
-      },
+      context,
+      (machine, heartbeat) => this.#reconciler.reconcile(machine, heartbeat),
     );
-    this.#attempts = new Attempts(
+    this.#attempts = new AttemptManager(
       this.#shard,
-      deps,
-      () => {
-        this.#recorder.wake();
-      },
+      context,
+      () => this.#recorder.wake(),
       (machine) => {
-        this.#commander.due(machine);
+        this.#commandDispatcher.schedule(machine);
         wake();
       },
     );
-    this.#scheduler = new Scheduler(this.#shard, this.#attempts, deps);
-    this.#fencingTokenRaiser = new FencingTokenRaiser(this.#shard, deps);
-    this.#upRecords = new UpRecords(this.#shard, deps);
-    this.#recorder = new Recorder(this, deps);
-    this.#fleet = new FleetManager(this, deps);
+    this.#reconciler = new HeartbeatReconciler(this.#shard, this.#attempts, context);
+    this.#scheduler = new Scheduler(this.#shard, this.#attempts, context);
+    this.#fencingTokenRaiser = new FencingTokenRaiser(this.#shard, context);
+    this.#registration = new MachineRegistration(this.#shard, context);
+    this.#recorder = new CompletionRecorder(this, context);
+    this.#autoscaler = new Autoscaler(this, context);
     const { tables, machines } = this.#shard;
-    deps.log.info(
+    context.log.info(
       { shard: tenure.number, token: tenure.fencingToken, jobs: tables.size, machines: machines.size },
       'shard taken over',
     );
@@ -92,20 +91,20 @@
     this.#handover = handover;
     const signal = this.#stop.signal;
     const loop = (name: string, step: () => Promise<void>): void => {
-      const { clock, log } = this.deps;
+      const { clock, log } = this.context;
       void runLoop(`${name} of shard ${this.shard}`, step, { clock, log, signal });
     };
     loop('rounds', () => this.#step(signal));
     loop('token', () => this.#fencingTokenRaiser.step(signal));
     loop('ends of leases', async () => {
-      await this.deps.clock.sleep(TICK_MS, signal);
-      if (this.entitled) await this.#scheduler.expire();
+      await this.context.clock.sleep(TICK_MS, signal);
+      if (this.entitled) await this.#scheduler.expireLeases();
     });
     loop('records', () => this.#recorder.step(signal));
-    loop('renting', () => this.#fleet.rentStep(signal));
-    loop('records of machines', () => this.#fleet.recordStep(signal));
-    loop('returning', () => this.#fleet.returnStep(signal));
-    this.#commander.ask(this.deps.clock.now());
+    loop('renting', () => this.#autoscaler.scaleOutStep(signal));
+    loop('records of machines', () => this.#autoscaler.recordStep(signal));
+    loop('returning', () => this.#autoscaler.scaleInStep(signal));
+    this.#commandDispatcher.probe(this.context.clock.now());
     this.#wake.wake();
   }
 
@@ -114,7 +113,7 @@
     this.#shard.stopped = true;
     this.#stop.abort();
     this.#handover?.abandon();
-    this.deps.log.info({ shard: this.shard, token: this.#shard.fencingToken, why }, 'shard given up');
+    this.context.log.info({ shard: this.shard, token: this.#shard.fencingToken, why }, 'shard given up');
   }
 
   get shard(): number {
@@ -130,17 +129,17 @@
   }
 
   /** Whether the machine belongs to this shard, recorded or just rented. */
-  has(machine: string): boolean {
-    return this.machines.has(machine) || this.#fleet.isUnrecorded(machine);
+  ownsMachine(machine: string): boolean {
+    return this.machines.has(machine) || this.#autoscaler.isUnrecorded(machine);
   }
 
-  get awaitedUpRecords(): number {
-    return this.#upRecords.size;
+  get pendingRegistrations(): number {
+    return this.#registration.size;
   }
 
   /** Commands that have left and are not answered. */
-  get outstandingCommands(): number {
-    return this.#commander.outstanding;
+  get commandsInFlight(): number {
+    return this.#commandDispatcher.inFlightCount;
   }
 
   get stopped(): boolean {
@@ -169,7 +168,7 @@
       else this.#shard.loadMachine(key, event.value);
     } else if (key.startsWith(`${PREFIX.relay}${this.shard}/`)) {
       // Up to the end of its record a relay may have answered.
-      this.#scheduler.countAllAsAnswered(this.deps.clock.now());
+      this.#scheduler.assumeAllLeasesRenewed(this.context.clock.now());
     } else if (key === KEY.lease(this.shard)) {
       this.#onLease(event);
     }
@@ -178,7 +177,7 @@
   #onLease(event: ChangeEvent): void {
     const lease = event.deleted ? undefined : read.lease(event.value);
     // Our own raise of the token may come back here before its answer does, or instead of it.
-    if (lease?.owner === this.deps.node && lease.token >= this.#shard.fencingToken) {
+    if (lease?.owner === this.context.controllerId && lease.token >= this.#shard.fencingToken) {
       this.#shard.fencingToken = lease.token;
       this.#shard.leaseVersion = event.version;
     } else if (event.version > this.#shard.leaseVersion) {
@@ -189,12 +188,12 @@
   #removeMachine(id: string): void {
     const machine = this.machines.get(id);
     if (!machine) return;
-    this.machineGone(machine);
+    this.onMachineTerminated(machine);
     this.#shard.machines.delete(id);
   }
 
   /** The last dependencies of some jobs are done. */
-  jobsReady(): void {
+  onJobsReady(): void {
     this.#wake.wake();
   }
 
@@ -202,7 +201,7 @@
     this.#attempts.closeJob(id);
   }
 
-  recordedMore(): void {
+  onCompletionsRecorded(): void {
     this.#wake.wake();
   }
 
@@ -211,56 +210,56 @@
   /** Takes a report. Undecided: we are not entitled to answer. */
   onHeartbeat(heartbeat: WorkerHeartbeat): OwnerResponse | Promise<OwnerResponse> {
     const machine = this.machines.get(heartbeat.machine);
-    if (!machine && this.entitled && this.#fleet.isUnrecorded(heartbeat.machine)) {
-      return this.#recordRental(heartbeat);
+    if (!machine && this.entitled && this.#autoscaler.isUnrecorded(heartbeat.machine)) {
+      return this.#registerUnrecorded(heartbeat);
     }
     // A report of a machine that the cloud has ended is a late copy: it brings nothing back.
-    if (!machine || machine.gone || !this.entitled) return UNDECIDED;
-    if (machine.up) return this.#answerHeartbeat(machine, heartbeat);
-    machine.hasReported = true;
-    return this.#upRecords
-      .record(machine, heartbeat.address)
+    if (!machine || machine.isTerminated || !this.entitled) return UNDECIDED;
+    if (machine.isUp) return this.#answerHeartbeat(machine, heartbeat);
+    machine.hasSentHeartbeat = true;
+    return this.#registration
+      .register(machine, heartbeat.address)
       .then((recorded) => (recorded ? this.#answerHeartbeat(machine, heartbeat) : UNDECIDED));
   }
 
   /** The first report of a machine whose rental is not recorded yet. */
-  async #recordRental(heartbeat: WorkerHeartbeat): Promise<OwnerResponse> {
+  async #registerUnrecorded(heartbeat: WorkerHeartbeat): Promise<OwnerResponse> {
     const { machine: id, address } = heartbeat;
-    const record = this.#fleet.beginRecording(id);
+    const record = this.#autoscaler.beginRecording(id);
     if (!record) return UNDECIDED;
-    const outcome = await this.#upRecords.recordRental(id, address, record);
-    this.#fleet.endRecording(id, outcome);
+    const outcome = await this.#registration.registerUnrecorded(id, address, record);
+    this.#autoscaler.endRecording(id, outcome);
     const machine = this.machines.get(id);
     return machine && outcome === 'recorded' ? this.#answerHeartbeat(machine, heartbeat) : UNDECIDED;
   }
 
   #answerHeartbeat(machine: Machine, heartbeat: WorkerHeartbeat): OwnerResponse {
-    if (!this.entitled || machine.gone || this.machines.get(machine.id) !== machine) return UNDECIDED;
-    const now = this.deps.clock.now();
+    if (!this.entitled || machine.isTerminated || this.machines.get(machine.id) !== machine) return UNDECIDED;
+    const now = this.context.clock.now();
     // One that we have taken for dead without ever having heard it proves its messages new like any other: else a report
     // that was held up would bring back what died with its session.
-    const hasMet = machine.settled && (machine.incarnation > 0 || machine.wasNeverAnswered);
+    const hasMet = machine.isConfirmed && (machine.incarnation > 0 || machine.wasNeverAnswered);
     if (!hasMet && heartbeat.fencingToken < this.#shard.fencingToken) {
       // It may be a copy from before we took the shard, held up for long: only our token, or the answer to a question
       // of ours, proves a message new.
       machine.unverifiedIncarnation = heartbeat.incarnation;
-      if (!machine.settled) {
-        machine.unproven += 1;
+      if (!machine.isConfirmed) {
+        machine.unverifiedHeartbeats += 1;
         // Answers don't reach it. Counted as answered again and again, its lease would never end for us.
-        if (machine.unproven > MAX_UNPROVEN) return UNDECIDED;
+        if (machine.unverifiedHeartbeats > MAX_UNVERIFIED_HEARTBEATS) return UNDECIDED;
       }
-      machine.answeredAt = now;
+      machine.latestLeaseStart = now;
       // The answer renews the worker's lease, so it must end what was cancelled, perhaps a lease ago, before we took the
       // shard: a worker that hears this one answer and no other would keep it for another lease.
-      return this.#accept(evictionsOfEndedJobs(heartbeat, this.deps.cache));
+      return this.#accept(evictionsOfEndedJobs(heartbeat, this.context.cache));
     }
     const isNews = machine.isNewer(heartbeat);
-    this.#reconcile(machine, heartbeat);
-    if (isNews) machine.renewedAt = now;
-    if (this.#attempts.mayStartEnded(machine, now)) return UNDECIDED;
-    const commands = this.#commander.commandsFor(machine, false);
+    this.#reconciler.reconcile(machine, heartbeat);
+    if (isNews) machine.lastRenewalAt = now;
+    if (this.#attempts.mayStillStartEndedJob(machine, now)) return UNDECIDED;
+    const commands = this.#commandDispatcher.commandsFor(machine, false);
     // Counted from now, which is later than when the worker sent the report: its own lease ends before ours of it.
-    machine.answeredAt = now;
+    machine.latestLeaseStart = now;
     return this.#accept(commands);
   }
 
@@ -268,68 +267,42 @@
     return { kind: 'accepted', fencingToken: this.#shard.fencingToken, commands };
   }
 
-  #reconcile(machine: Machine, heartbeat: WorkerHeartbeat): void {
-    const { shard } = this;
-    const now = this.deps.clock.now();
-    const { missedMs, leaseMs } = this.#shard.timing;
-    const silentBefore = machine.heardAt === undefined || now - machine.heardAt > missedMs;
-    const changes = machine.reconcile(heartbeat, now, leaseMs, (job) => this.#attempts.describe(job));
-    const { fencingToken } = this.#shard;
-    if (heartbeat.fencingToken > fencingToken) {
-      this.deps.log.warn(
-        { machine: machine.id, seen: heartbeat.fencingToken, token: fencingToken },
-        'a worker saw a higher token',
-      );
-    }
-    if (!machine.settled && machine.fencingTokenSeen >= fencingToken) {
-      this.#shard.settle(machine);
-      this.deps.log.debug({ shard, machine: machine.id, attempts: machine.attempts.size }, 'machine settled');
-      this.#wake.wake();
-    }
-    if (silentBefore) {
-      // Out of reach it was of no use to anybody: counted as idle all that time, the machines of a zone that had been cut
-      // off were returned by the hundred the moment they came back, before any waiting task could be placed there.
-      machine.idleSince = now;
-      this.#wake.wake();
-    }
-    if (machine.leaving === 'silent' && !machine.releasing && machine.deafSince === undefined)
-      machine.leaving = undefined;
-    this.#attempts.apply(machine, changes);
-  }
-
   /** How many machines should report here, and how many of them have not for a while. */
-  hearing(): { machines: number; unheard: number } {
-    return this.#shard.hearing(this.deps.clock.now());
+  workerReachability(): { machines: number; unheard: number } {
+    return this.#shard.workerReachability(this.context.clock.now());
   }
 
   // Rounds.
 
   async #step(signal: AbortSignal): Promise<void> {
     await this.#wake.wait(TICK_MS);
-    await this.deps.clock.sleep(EVENTS_GATHER_MS, signal);
+    await this.context.clock.sleep(EVENTS_GATHER_MS, signal);
     if (signal.aborted || !this.entitled) return;
-    const now = this.deps.clock.now();
+    const now = this.context.clock.now();
     if (now - this.#housekeptAt >= TICK_MS) {
       this.#housekeptAt = now;
-      this.#scheduler.housekeep(now);
-      this.#commander.ask(now);
+      this.#scheduler.runPeriodicTasks(now);
+      this.#commandDispatcher.probe(now);
     }
-    const goesOn = !this.#shard.workersAreComing(now) && this.#scheduler.round(now);
-    this.#commander.flush();
+    const goesOn = !this.#shard.isAwaitingWorkers(now) && this.#scheduler.round(now);
+    this.#commandDispatcher.flush();
     if (this.#handover) this.#followHandover(this.#handover, goesOn);
     if (now - this.#summaryAt >= SUMMARY_MS) {
       this.#summaryAt = now;
       this.#logSummary(now);
     }
     if (goesOn) this.#wake.wake();
-    const pauseMs = (this.deps.clock.now() - now) * (ROUND_PART - 1);
+    const pauseMs = (this.context.clock.now() - now) * (ROUND_PART - 1);
     if (pauseMs > EVENTS_GATHER_MS)
-      await this.deps.clock.sleep(Math.min(this.deps.settings.throttling.roundPauseMs, pauseMs), signal);
+      await this.context.clock.sleep(
+        Math.min(this.context.settings.throttling.roundPauseMs, pauseMs),
+        signal,
+      );
   }
 
   /** After a round: how far the takeover is. */
   #followHandover(handover: HandoverTrace, isRoundUnfinished: boolean): void {
-    if (!this.#shard.allKnown) return;
+    if (!this.#shard.areAllMachinesConfirmed) return;
     handover.reached('workers confirmed', { machines: this.machines.size });
     if (!isRoundUnfinished) handover.reached('orphaned jobs placed', { jobs: this.tables.size });
     if (handover.isOver) this.#handover = undefined;
@@ -338,35 +311,35 @@
   /** One line every now and then, by which an operator sees how the shard does. */
   #logSummary(now: number): void {
     const summary = summarizeShard(this.#shard, this.#scheduler.unplaced, now);
-    this.deps.log.info({ shard: this.shard, jobs: this.tables.size, ...summary }, 'shard');
+    this.context.log.info({ shard: this.shard, jobs: this.tables.size, ...summary }, 'shard');
   }
 
   // The fleet.
 
-  fleetInput(refused: (option: RentOption) => boolean): FleetInput | undefined {
-    return this.#scheduler.fleetInput(refused);
+  scalingInput(refused: (option: InstanceOption) => boolean): ScalingInput | undefined {
+    return this.#scheduler.scalingInput(refused);
   }
 
   /** The cloud's list says that it stopped on its own. */
-  machineFailed(id: string): void {
+  onMachineFailed(id: string): void {
     const machine = this.machines.get(id);
-    if (!machine || machine.leaving === 'silent') return;
-    this.deps.log.info({ machine: id }, 'machine failed, by the list of the cloud');
-    machine.leaving = 'silent';
+    if (!machine || machine.drainReason === 'unresponsive') return;
+    this.context.log.info({ machine: id }, 'machine failed, by the list of the cloud');
+    machine.drainReason = 'unresponsive';
   }
 
   /** The cloud confirmed its end. */
-  machineGone(machine: Machine): void {
-    machine.gone = true;
-    this.#commander.forget(machine);
-    this.#attempts.dropAll(machine);
+  onMachineTerminated(machine: Machine): void {
+    machine.isTerminated = true;
+    this.#commandDispatcher.cancel(machine);
+    this.#attempts.dropAllAttempts(machine);
   }
 
   /** How far each job is, for display. */
   progress(): JobProgress[] {
     return [...this.tables.values()].map((t) => ({
       id: t.job.id,
-      running: this.#attempts.runningOf(t.job.id),
+      running: this.#attempts.runningCount(t.job.id),
       done: t.recorded.count,
     }));
   }
--- a/src/coordination/shard/shard-summary.ts
+++ b/src/coordination/shard/shard-summary.ts
@@ -1,6 +1,6 @@
 /** @file The figures of a shard that an operator sees in the log. */
 import type { Shard } from './shard';
-import { holdsRoom } from './machine';
+import { occupiesResources } from './machine';
 
 /** Machines, CPUs and waiting tasks of a shard at one moment. */
 export interface ShardSummary {
@@ -36,12 +36,12 @@
     summary.machines += 1;
     summary.cpus += machine.type.cpus;
     if (machine.record.spot) summary.spot += 1;
-    if (!machine.up) summary.booting += 1;
-    else if (!shard.usable(machine, now)) summary.unusable += 1;
+    if (!machine.isUp) summary.booting += 1;
+    else if (!shard.isSchedulable(machine, now)) summary.unusable += 1;
     for (const attempt of machine.attempts.values()) {
-      if (!holdsRoom(attempt)) continue;
-      summary.usedCpus += attempt.needs.cpus;
-      if (attempt.phase === 'running') summary.runningCpus += attempt.needs.cpus;
+      if (!occupiesResources(attempt)) continue;
+      summary.usedCpus += attempt.resources.cpus;
+      if (attempt.phase === 'running') summary.runningCpus += attempt.resources.cpus;
     }
   }
   for (const table of shard.tables.values()) if (table.isReady) summary.waiting += table.unassigned;
