--- a/src/bookkeeping/session.ts
+++ b/src/bookkeeping/session.ts
@@ -86,7 +86,7 @@
       // The previous process of this node is dead, for this one replaced it. Its lease is revoked, so that nobody has to
       // wait for its end.
       await this.store.revokeLease(previous.lease);
-      this.log.info({ lease: previous.lease }, 'ended the lease that this node had before');
+      this.log.info({ lease: previous.lease }, 'revoked the lease of the previous process');
     }
     const sentAt = this.clock.now();
     const lease = await this.store.grantLease(this.ttlMs);
@@ -100,7 +100,7 @@
     this.#renewedAt = sentAt;
     this.#extendedUntil = -Infinity;
     this.#lease = lease;
-    this.log.info({ lease, ttlMs: this.ttlMs }, 'this node has a lease');
+    this.log.info({ lease, ttlMs: this.ttlMs }, 'controller lease granted');
   }
 
   async #renew(): Promise<void> {
@@ -111,7 +111,7 @@
       this.#renewedAt = sentAt;
     } else {
       this.#lease = undefined;
-      this.log.warn({ lease }, 'the lease of this node has ended');
+      this.log.warn({ lease }, 'controller lease expired');
     }
   }
 }
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -56,10 +56,10 @@
   if (admission?.isTraced || suspicion?.isTraced) startTracing(log);
   // A process never ends by itself: what no loop caught is logged, and the loops go on.
   process.on('uncaughtException', (error) => {
-    log.error({ err: describeError(error), stack: error.stack }, 'uncaught');
+    log.error({ err: describeError(error), stack: error.stack }, 'uncaught exception');
   });
   process.on('unhandledRejection', (error) => {
-    log.error({ err: describeError(error) }, 'unhandled');
+    log.error({ err: describeError(error) }, 'unhandled rejection');
   });
   const signal = new AbortController().signal;
   const peers = platform.others.map(
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -134,7 +134,7 @@
       () => this.fleet.entitled,
     );
     for (const machine of batch) {
-      this.context.log.info({ machine: machine.id, why: machine.drainReason }, 'machine returned');
+      this.context.log.info({ machine: machine.id, why: machine.drainReason }, 'scale-in: machine returned');
       this.fleet.onMachineTerminated(machine);
       this.#terminated.add(machine.id);
     }
@@ -181,17 +181,14 @@
     for (let attempt = 1; attempt <= RENT_TRIES && !signal.aborted && this.fleet.entitled; attempt += 1) {
       try {
         const ids = await this.context.cloud.createMachines(request, () => this.fleet.entitled);
-        this.context.log.info({ ...request, ids }, 'machines rented');
+        this.context.log.info({ ...request, ids }, 'scale-out: machines rented');
         const rentedAt = this.context.clock.date().getTime();
         for (const id of ids) this.#unrecorded.set(id, { ...rental, rentedAt, isUp: false });
         this.#recordWake.wake();
         return ids.length;
       } catch (error) {
         if (error instanceof CloudRejectedError && error.noCapacity) return 0;
-        this.context.log.info(
-          { ...request, attempt, err: describeError(error) },
-          'a rental was not answered',
-        );
+        this.context.log.info({ ...request, attempt, err: describeError(error) }, 'scale-out request failed');
         await this.context.clock.sleep(RETRY_MS, signal);
       }
     }
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -143,7 +143,7 @@
       await this.#leaderWake.wait(LEADER_PAUSE_MS);
       await this.#leader.step();
     });
-    loop('shards', async () => {
+    loop('shard acquisition', async () => {
       await this.#ownerWake.wait(OWNER_PAUSE_MS);
       await this.#acquisition.step();
     });
@@ -166,7 +166,7 @@
 
   stop(): void {
     this.#stop.abort();
-    for (const owner of this.owners.values()) owner.stop('the node stops');
+    for (const owner of this.owners.values()) owner.stop('controller stops');
   }
 
   get types(): readonly MachineType[] {
@@ -250,7 +250,7 @@
   onPeerFrame(bytes: Uint8Array): void {
     const message = readPeerMessage(bytes);
     if (!message) {
-      this.environment.log.info('a message of a peer could not be read');
+      this.environment.log.info('unreadable peer message');
       return;
     }
     this.#onPeer(message);
--- a/src/coordination/ownership/fencing-token-raiser.ts
+++ b/src/coordination/ownership/fencing-token-raiser.ts
@@ -43,7 +43,7 @@
       shard.fencingToken = next;
       shard.leaseVersion = result.revision;
       this.#raisedAt = now;
-      this.context.log.debug({ shard: shard.number, token: next }, 'token raised');
+      this.context.log.debug({ shard: shard.number, fencingToken: next }, 'fencing token raised');
     }
   }
 
--- a/src/coordination/ownership/leader.ts
+++ b/src/coordination/ownership/leader.ts
@@ -43,7 +43,7 @@
         true,
       );
       if (result.ok) {
-        log.info({ node: controllerId }, 'this node leads');
+        log.info({ node: controllerId }, 'became leader');
         cache.offer({
           key: KEY.leader,
           version: result.revision,
@@ -179,7 +179,7 @@
     const conditions = changes.map((c) => ({ key: c.put, version: 0 }));
     const result = await store.compareAndSwap([leadership, ...conditions], changes);
     if (!result.ok) return;
-    log.info({ shard, machines: strays.map((m) => m.id) }, 'strays taken in');
+    log.info({ shard, machines: strays.map((m) => m.id) }, 'unrecorded machines adopted');
     for (const c of changes) {
       this.context.publish({ key: c.put, version: result.revision, value: c.value, deleted: false });
     }
--- a/src/coordination/ownership/shard-acquisition.ts
+++ b/src/coordination/ownership/shard-acquisition.ts
@@ -62,10 +62,9 @@
     const { controllerId, cache, session, store } = this.context;
     const { shard } = owner;
     const lease = read.lease(cache.get(KEY.lease(shard))?.value);
-    if (session.lease === undefined || lease?.owner !== controllerId)
-      owner.stop('its lease is not held here');
+    if (session.lease === undefined || lease?.owner !== controllerId) owner.stop('lease not held here');
     else if (read.shard(cache.get(KEY.shard(shard))?.value)?.owner !== controllerId) {
-      owner.stop('the leader gave it to another node');
+      owner.stop('assigned to another controller');
       // Once the lease is gone the other may take it: nothing leaves here any more.
       await store.compareAndSwap([owner.leaseCondition()], [{ delete: KEY.lease(shard) }], true);
     }
@@ -80,8 +79,11 @@
     const successor = this.reachability.successor(owner.shard, machines, unheard);
     if (successor === undefined || this.#record(owner.shard) === undefined) return;
     const { shard } = owner;
-    this.context.log.info({ shard, successor, machines, unheard }, 'another node hears the workers');
-    owner.stop('its workers reach another node only');
+    this.context.log.info(
+      { shard, successor, machines, unheard },
+      'handing shard over: its workers reach another controller only',
+    );
+    owner.stop('its workers reach another controller only');
     await this.#nameSuccessor(owner, successor);
   }
 
@@ -97,7 +99,7 @@
     const planned = suspicion?.plannedHandover(shard, candidates);
     if (!planned || this.#record(shard)?.owner !== this.context.controllerId) return;
     const { successor, reason } = planned;
-    log.info({ shard, successor, reason }, 'giving a shard up in order');
+    log.info({ shard, successor, reason }, 'planned shard handover');
     const handover = new HandoverTrace(shard, this.context);
     owner.stop(reason);
     handover.reached('stopped', { reason });
@@ -198,7 +200,7 @@
     // The tables are built from a view that holds everything the owner before us could have acted on.
     while (cache.revision < result.revision && session.valid) await clock.sleep(VIEW_POLL_MS);
     if (!session.valid || read.lease(cache.get(KEY.lease(shard))?.value)?.owner !== controllerId) {
-      log.warn({ shard }, 'a shard was lost before it was taken');
+      log.warn({ shard }, 'shard lease lost during acquisition');
       return 'lost';
     }
     const owner = new ShardOwner(
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -77,7 +77,7 @@
         !machine.hasMissedHeartbeats(now, this.shard.timing.heartbeatTimeoutMs)
       )
         continue;
-      this.context.log.info({ machine: machine.id }, 'a cancelled task there can not be stopped');
+      this.context.log.info({ machine: machine.id }, 'cancelled task cannot be stopped: machine unreachable');
       machine.drainReason = 'unresponsive';
     }
   }
@@ -240,7 +240,7 @@
       if (!machine || !attempt) continue;
       const job = this.shard.tables.get(attempt.job)?.job;
       this.attempts.evict(machine, attempt, job ? evictionCost(job, elapsedS(attempt, now)).graceS : 0);
-      this.context.log.debug({ job: attempt.job, task: attempt.task, machine: id }, 'stopped for others');
+      this.context.log.debug({ job: attempt.job, task: attempt.task, machine: id }, 'task preempted');
     }
   }
 
@@ -274,7 +274,7 @@
     this.#countRelayedAsAnswered(now);
     for (const machine of this.#overdue(now)) {
       const { id, attempts } = machine;
-      this.context.log.info({ machine: id, attempts: attempts.size }, 'lease of a silent machine ran out');
+      this.context.log.info({ machine: id, attempts: attempts.size }, 'worker lease expired');
       this.attempts.dropAllAttempts(machine);
     }
   }
@@ -344,7 +344,10 @@
         );
         if (!found) continue;
         subtractResources(found.room, job);
-        this.context.log.info({ job: job.id, task: attempt.task, machine: id }, 'eager re-issue: stop first');
+        this.context.log.info(
+          { job: job.id, task: attempt.task, machine: id },
+          'eager re-issue: evicting first',
+        );
         this.attempts.evict(machine, attempt, job.checkpointS > 0 ? job.saveS : 0);
       }
     }
@@ -378,7 +381,7 @@
       const machine = shard.machines.get(id);
       if (!machine) continue;
       machine.drainReason = 'underused';
-      this.context.log.info({ machine: id, tasks: tasks.length }, 'machine emptied');
+      this.context.log.info({ machine: id, tasks: tasks.length }, 'draining underused machine');
       for (const key of tasks) {
         const attempt = machine.attempts.get(key);
         const job = attempt && shard.tables.get(attempt.job)?.job;
--- a/src/coordination/shard/attempt-manager.ts
+++ b/src/coordination/shard/attempt-manager.ts
@@ -191,7 +191,7 @@
       table.onTaskFailed(machine.id, now);
       this.#quarantine.onTaskFailed(machine, table);
       this.context.log.info(
-        { job, task, machine: machine.id, sick: machine.isQuarantined },
+        { job, task, machine: machine.id, quarantined: machine.isQuarantined },
         'attempt failed',
       );
       if (machine.isQuarantined) machine.drainReason ??= 'quarantined';
--- a/src/coordination/shard/heartbeat-reconciler.ts
+++ b/src/coordination/shard/heartbeat-reconciler.ts
@@ -40,13 +40,13 @@
     const { log } = this.context;
     if (heartbeat.fencingToken > fencingToken) {
       log.warn(
-        { machine: machine.id, seen: heartbeat.fencingToken, token: fencingToken },
-        'a worker saw a higher token',
+        { machine: machine.id, seen: heartbeat.fencingToken, fencingToken },
+        'worker has seen a higher fencing token',
       );
     }
     if (machine.isConfirmed || machine.fencingTokenSeen < fencingToken) return;
     shard.confirm(machine);
-    log.debug({ shard: number, machine: machine.id, attempts: machine.attempts.size }, 'machine settled');
+    log.debug({ shard: number, machine: machine.id, attempts: machine.attempts.size }, 'machine confirmed');
     shard.wake();
   }
 }
--- a/src/coordination/shard/machine-registration.ts
+++ b/src/coordination/shard/machine-registration.ts
@@ -108,7 +108,7 @@
         open = open.filter((write) => !conflicts.includes(write));
       }
     } catch (error) {
-      this.context.log.info({ err: describeError(error) }, 'machines could not be recorded as up');
+      this.context.log.info({ err: describeError(error) }, 'machines could not be registered as up');
     }
     return outcomes;
   }
--- a/src/coordination/shard/shard-owner.ts
+++ b/src/coordination/shard/shard-owner.ts
@@ -81,8 +81,8 @@
     this.#autoscaler = new Autoscaler(this, context);
     const { tables, machines } = this.#shard;
     context.log.info(
-      { shard: tenure.number, token: tenure.fencingToken, jobs: tables.size, machines: machines.size },
-      'shard taken over',
+      { shard: tenure.number, fencingToken: tenure.fencingToken, jobs: tables.size, machines: machines.size },
+      'shard acquired',
     );
   }
 
@@ -94,16 +94,16 @@
       const { clock, log } = this.context;
       void runLoop(`${name} of shard ${this.shard}`, step, { clock, log, signal });
     };
-    loop('rounds', () => this.#step(signal));
-    loop('token', () => this.#fencingTokenRaiser.step(signal));
-    loop('ends of leases', async () => {
+    loop('scheduling rounds', () => this.#step(signal));
+    loop('fencing token', () => this.#fencingTokenRaiser.step(signal));
+    loop('lease expiry', async () => {
       await this.context.clock.sleep(TICK_MS, signal);
       if (this.entitled) await this.#scheduler.expireLeases();
     });
-    loop('records', () => this.#recorder.step(signal));
-    loop('renting', () => this.#autoscaler.scaleOutStep(signal));
-    loop('records of machines', () => this.#autoscaler.recordStep(signal));
-    loop('returning', () => this.#autoscaler.scaleInStep(signal));
+    loop('completion records', () => this.#recorder.step(signal));
+    loop('scale-out', () => this.#autoscaler.scaleOutStep(signal));
+    loop('machine records', () => this.#autoscaler.recordStep(signal));
+    loop('scale-in', () => this.#autoscaler.scaleInStep(signal));
     this.#commandDispatcher.probe(this.context.clock.now());
     this.#wake.wake();
   }
@@ -113,7 +113,10 @@
     this.#shard.stopped = true;
     this.#stop.abort();
     this.#handover?.abandon();
-    this.context.log.info({ shard: this.shard, token: this.#shard.fencingToken, why }, 'shard given up');
+    this.context.log.info(
+      { shard: this.shard, fencingToken: this.#shard.fencingToken, why },
+      'shard released',
+    );
   }
 
   get shard(): number {
@@ -181,7 +184,7 @@
       this.#shard.fencingToken = lease.token;
       this.#shard.leaseVersion = event.version;
     } else if (event.version > this.#shard.leaseVersion) {
-      this.stop('its lease is gone');
+      this.stop('lease lost');
     }
   }
 
@@ -324,7 +327,7 @@
   onMachineFailed(id: string): void {
     const machine = this.machines.get(id);
     if (!machine || machine.drainReason === 'unresponsive') return;
-    this.context.log.info({ machine: id }, 'machine failed, by the list of the cloud');
+    this.context.log.info({ machine: id }, 'cloud lists machine as failed');
     machine.drainReason = 'unresponsive';
   }
 
--- a/src/suspicion/rejected-messages.ts
+++ b/src/suspicion/rejected-messages.ts
@@ -19,7 +19,6 @@
   add(reason: RejectionReason, from: string): void {
     const count = (this.#counts.get(reason) ?? 0) + 1;
     this.#counts.set(reason, count);
-    if (count === 1)
-      this.log.warn({ reason, from }, 'a message of a peer was dropped; further ones are only counted');
+    if (count === 1) this.log.warn({ reason, from }, 'peer message rejected; further ones are only counted');
   }
 }
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -103,7 +103,7 @@
         socket.resume();
       });
     } catch (error) {
-      this.deps.log.debug({ peer: this.address, err: describeError(error) }, 'no link to a peer');
+      this.deps.log.debug({ peer: this.address, err: describeError(error) }, 'peer link down');
     } finally {
       this.#socket = undefined;
       socket.destroy();
--- a/test/log.test.ts
+++ b/test/log.test.ts
@@ -17,7 +17,7 @@
 
 test('a field that every line has already stands there once', () => {
   const { log, lines } = capture('node-0');
-  log.info({ node: 'node-0', lease: 3 }, 'this node leads');
+  log.info({ node: 'node-0', lease: 3 }, 'became leader');
   log.info({ shard: 1 }, 'shard assigned');
   for (const line of lines) assert.equal(new Set(keysOf(line)).size, keysOf(line).length, line);
   assert.equal((JSON.parse(lines[0] ?? '') as { node: string }).node, 'node-0');
