--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -110,7 +110,7 @@
     const plan = planScaling({ ...input, machines: [...input.machines, ...unrecorded] });
     for (const id of plan.scaleIn) {
       const machine = this.fleet.machines.get(id);
-      if (machine) machine.drainReason ??= 'idle';
+      if (machine) machine.drain('idle');
     }
     for (const rental of plan.scaleOut) {
       if (signal.aborted || !this.fleet.entitled) return;
@@ -128,7 +128,7 @@
     if (leaving.length === 0) return;
     const batch = leaving.slice(0, MAX_MACHINES_PER_DELETE);
     // From here on the machine may disappear at any moment, whatever the cloud answers: it is never used again.
-    for (const machine of batch) machine.isReturnRequested = true;
+    for (const machine of batch) machine.requestReturn();
     await this.context.cloud.deleteMachines(
       batch.map((m) => m.id),
       () => this.fleet.entitled,
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -78,7 +78,7 @@
       )
         continue;
       this.context.log.info({ machine: machine.id }, 'cancelled task cannot be stopped: machine unreachable');
-      machine.drainReason = 'unresponsive';
+      machine.drainAsUnresponsive();
     }
   }
 
@@ -251,7 +251,7 @@
   /** Some node relays leases, or has until now: any silent worker may have been answered just now. */
   assumeAllLeasesRenewed(now: number): void {
     for (const machine of this.shard.machines.values()) {
-      if (machine.isUp) machine.latestLeaseStart = Math.max(machine.latestLeaseStart, now);
+      if (machine.isUp) machine.assumeAnswered(now);
     }
   }
 
@@ -282,7 +282,7 @@
   #stopBeforeNotices(now: number): void {
     for (const machine of this.shard.machines.values()) {
       if (machine.spotNoticeDeadline === undefined) continue;
-      machine.drainReason ??= 'spot notice';
+      machine.drain('spot notice');
       for (const attempt of machine.attempts.values()) {
         const table = this.shard.tables.get(attempt.job);
         if (!table || attempt.eviction || !occupiesResources(attempt)) continue;
@@ -324,7 +324,7 @@
     });
     for (const id of toReturn) {
       const machine = this.shard.machines.get(id);
-      if (machine) machine.drainReason ??= 'unresponsive';
+      if (machine) machine.drain('unresponsive');
     }
     if (candidates.length === 0 || !this.#complete || this.#unplaced.size > 0) return;
     if (!this.context.eventLoopDelay.allowsOptimization) return;
@@ -380,7 +380,7 @@
     for (const { machine: id, tasks } of chooseConsolidation({ machines, warmCpus })) {
       const machine = shard.machines.get(id);
       if (!machine) continue;
-      machine.drainReason = 'underused';
+      machine.drain('underused');
       this.context.log.info({ machine: id, tasks: tasks.length }, 'draining underused machine');
       for (const key of tasks) {
         const attempt = machine.attempts.get(key);
@@ -398,9 +398,9 @@
       const lateAt = machine.knownSince + machine.type.bootS * lateFactor * 1000;
       const deadAt = machine.leaseExpiresAt(this.shard.timing.leaseMs);
       // Within the limit on changes, recording thousands of machines as up takes minutes: those that report aren't late.
-      if (!machine.isUp && !machine.hasSentHeartbeat && now > lateAt) machine.drainReason = 'late boot';
+      if (!machine.isUp && !machine.hasSentHeartbeat && now > lateAt) machine.drain('late boot');
       else if (machine.isUp && !machine.isBusy && now > deadAt + GIVE_UP_AFTER_LEASE_MS) {
-        machine.drainReason = 'unresponsive';
+        machine.drain('unresponsive');
       }
     }
   }
--- a/src/coordination/shard/attempt-manager.ts
+++ b/src/coordination/shard/attempt-manager.ts
@@ -194,7 +194,7 @@
         { job, task, machine: machine.id, quarantined: machine.isQuarantined },
         'attempt failed',
       );
-      if (machine.isQuarantined) machine.drainReason ??= 'quarantined';
+      if (machine.isQuarantined) machine.drain('quarantined');
     } else if (exitCause === 'no_room') {
       machine.backOff(now);
     } else if (exitCause === 'unknown') {
--- a/src/coordination/shard/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -183,6 +183,26 @@
     );
   }
 
+  /** No more tasks start here, and it is returned as soon as it may be. The first reason stays. */
+  drain(reason: DrainReason): void {
+    this.drainReason ??= reason;
+  }
+
+  /** It is returned with all that is on it, whatever it was drained for before. */
+  drainAsUnresponsive(): void {
+    this.drainReason = 'unresponsive';
+  }
+
+  /** Its return has been asked for: it may disappear at any moment. */
+  requestReturn(): void {
+    this.isReturnRequested = true;
+  }
+
+  /** Somebody may have answered its worker until now: its lease may have begun as late as that. */
+  assumeAnswered(now: number): void {
+    this.latestLeaseStart = Math.max(this.latestLeaseStart, now);
+  }
+
   /** No starts for a while, after one that was refused or could not be delivered. */
   backOff(now: number): void {
     this.#backoffUntil = now + BACKOFF_MS;
--- a/src/coordination/shard/shard-owner.ts
+++ b/src/coordination/shard/shard-owner.ts
@@ -328,7 +328,7 @@
     const machine = this.machines.get(id);
     if (!machine || machine.drainReason === 'unresponsive') return;
     this.context.log.info({ machine: id }, 'cloud lists machine as failed');
-    machine.drainReason = 'unresponsive';
+    machine.drainAsUnresponsive();
   }
 
   /** The cloud confirmed its end. */
