--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -20,7 +20,7 @@
     const apply = ids.slice(from, from + RECORDS_AT_ONCE).map((id) => ({
       set: KEY.machine(id),
       data: {
-        ...{ shard: 0, address: world.worker(id).address, type: 'm4', zone: 'a', spot: true },
+        ...{ block: 0, address: world.worker(id).address, type: 'm4', zone: 'a', spot: true },
         ...{ up: true, rentedAt: world.clock.date().getTime() },
       },
     }));
--- a/test/production/bundle.ts
+++ b/test/production/bundle.ts
@@ -6,7 +6,7 @@
 /** What `test/fakes/controller-parts.ts` names of the present version, under the names of the production version. */
 const PARTS = `
 export { makeSettings } from '../../src/base/settings';
-export { Node as Controller } from '../../src/coordination/controller';
+export { Node as Controller } from '../../src/coordination/node';
 export { createRoutes } from '../../src/coordination/routes';
 export { NoAnswer as NoResponseError } from '../../src/transport/http-client';
 `;
