--- a/src/coordination/ownership/fencing-token-raiser.ts
+++ b/src/coordination/ownership/fencing-token-raiser.ts
@@ -1,7 +1,7 @@
 import { KEY, read } from '../../bookkeeping/records';
 import type { Shard } from '../shard/shard';
 import type { ControllerContext } from '../controller-context';
-import { fencingTokenOf } from '../shard/machine';
+import { fencingTokenOf } from '../shard/attempt';
 
 const LOOK_MS = 250;
 /** Between two raises of the token: when an unanswered start is in doubt, and for mere forgetting. */
--- a/src/coordination/shard/attempt-manager.ts
+++ b/src/coordination/shard/attempt-manager.ts
@@ -1,52 +1,48 @@
-import { attemptKey, type Job } from '../../protocol/model';
-import type { Shard } from './shard';
+/** @file Issues attempts, and carries what becomes of them into the dispatch tables. */
+import type { WakeSignal } from '../../base/clock';
 import type { ControllerContext } from '../controller-context';
+import type { Placement } from '../scheduling/placement';
+import { Attempt, attemptNumber, describeTask, type AttemptChange, type TaskDescription } from './attempt';
+import type { CommandQueue } from './command-queue';
 import type { DispatchTable } from './dispatch-table';
+import { EndedJobAttempts } from './ended-job-attempts';
+import type { Machine } from './machine';
 import { QuarantinePolicy } from './quarantine-policy';
-import {
-  attemptNumber,
-  type Attempt,
-  type AttemptChange,
-  type TaskDescription,
-  type Machine,
-} from './machine';
-import type { Placement } from '../scheduling/placement';
+import type { Shard } from './shard';
 
 const UNKNOWN_JOB_PAUSE_MS = 1_000;
-const UNKNOWN_TASK: TaskDescription = {
-  resources: { cpus: 0, gpus: 0, memoryGb: 0 },
-  team: '',
-  image: '',
-  imageGb: 0,
-};
-
-function described(job: Job): TaskDescription {
-  return { resources: job, team: job.team, image: job.image, imageGb: job.imageGb };
+
+/** What the manager of attempts sets off. */
+export interface AttemptManagerOutputs {
+  /** The machines whose workers are to be sent commands. */
+  readonly commands: CommandQueue;
+  /** Is woken when a task completed. */
+  readonly completions: WakeSignal;
 }
 
-/** What becomes of attempts: issues them, and carries what workers say of them into the dispatch tables. */
+/** What becomes of attempts: issues them, and carries what workers report of them into the dispatch tables. */
 export class AttemptManager {
   readonly #quarantine = new QuarantinePolicy();
+  readonly #endedJobAttempts: EndedJobAttempts;
   /** Something was found that no table asked for, since surplus was last looked for. */
   #mayHaveSurplus = true;
-  /** Attempts of jobs that are over, until each is known gone: most take no longer than a command does. */
-  readonly #attemptsOfEndedJobs = new Map<Attempt, Machine>();
 
   constructor(
     private readonly shard: Shard,
     private readonly context: ControllerContext,
-    /** A task completed. */
-    private readonly completed: () => void,
-    /** Orders for the machine are to leave. */
-    private readonly scheduleCommands: (machine: Machine) => void,
-  ) {}
+    private readonly outputs: AttemptManagerOutputs,
+  ) {
+    this.#endedJobAttempts = new EndedJobAttempts(context.settings.cancellationUncertaintyMs);
+  }
 
+  /** Describes the tasks of a job by its id. */
   describe(id: string): TaskDescription {
-    const job = this.shard.tables.get(id)?.job;
-    return job ? described(job) : UNKNOWN_TASK;
+    return describeTask(this.shard.tables.get(id)?.job);
   }
 
-  issue({ job, machine: id, isBoosted }: Placement, now: number): void {
+  /** Issues the next task of a job to the machine on which it was placed. */
+  issue(placement: Placement, now: number): void;
+  issue({ job, machine: id, isBoosted }: Placement): void {
     const table = this.shard.tables.get(job);
     const machine = this.shard.machines.get(id);
     const task = table?.nextUnassigned() ?? -1;
@@ -57,26 +53,28 @@
       return;
     }
     const number = attemptNumber(this.shard.fencingToken, this.shard.nextAttemptCounter());
-    const key = attemptKey(job, task, number);
-    machine.addAttempt({
-      ...{ key, job, task, number, ...described(table.job), isBoosted },
-      ...{ phase: 'starting', exitCause: null, saved: false, sentAt: now, runningSince: undefined },
-      ...{ wasSent: false, isStartInFlight: false, eviction: undefined },
-    });
+    const attempt = new Attempt({ job, task, number, isBoosted, wasSent: false }, describeTask(table.job));
+    machine.addAttempt(attempt);
     machine.touchImage(table.job.image, table.job.imageGb);
-    table.issue(task, machine.id, key);
-    this.scheduleCommands(machine);
+    table.issue(task, machine.id, attempt.key);
+    this.#scheduleCommands(machine);
     this.context.log.debug({ job, task, machine: id, attempt: number }, 'task issued');
   }
 
-  /** Wants an attempt gone. */
+  /** The attempt is to be stopped, with this much time to save a checkpoint. */
   evict(machine: Machine, attempt: Attempt, graceS: number): void {
     if (attempt.phase === 'exited') return;
     if (attempt.eviction && attempt.eviction.graceS <= graceS) return;
-    attempt.eviction = { graceS, since: this.context.clock.now() };
-    this.scheduleCommands(machine);
+    attempt.evict(graceS);
+    this.#scheduleCommands(machine);
   }
 
+  #scheduleCommands(machine: Machine): void {
+    this.outputs.commands.add(machine);
+    this.shard.wake();
+  }
+
+  /** The job is over: all that runs of it is stopped. */
   closeJob(id: string): void {
     if (!this.shard.tables.delete(id)) return;
     for (const [attempt, machine] of this.shard.usage.attemptsOf(id)) this.#evictOfEndedJob(machine, attempt);
@@ -84,34 +82,25 @@
   }
 
   #evictOfEndedJob(machine: Machine, attempt: Attempt): void {
-    attempt.jobEndedAt ??= this.context.clock.now();
-    this.#attemptsOfEndedJobs.set(attempt, machine);
+    this.#endedJobAttempts.add(attempt, machine, this.context.clock.now());
     this.evict(machine, attempt, 0);
   }
 
   /** Attempts whose jobs ended longer ago than a cancellation leaves room for doubt, and that are not known gone. */
-  *overdueEvictions(now: number): Iterable<[Attempt, Machine]> {
-    for (const [attempt, machine] of this.#attemptsOfEndedJobs) {
-      const isGone = attempt.phase === 'exited' || machine.attempts.get(attempt.key) !== attempt;
-      if (isGone) this.#attemptsOfEndedJobs.delete(attempt);
-      else if (now - (attempt.jobEndedAt ?? now) > this.context.settings.cancellationUncertaintyMs)
-        yield [attempt, machine];
-    }
+  overdueEvictions(now: number): Iterable<[Attempt, Machine]> {
+    return this.#endedJobAttempts.overdue(now);
   }
 
   /**
-   * Whether a start of a job that is over may still reach the machine, though we heard of its end long ago: the token
-   * can't be raised while the state service is out. Unanswered, the worker's lease and session end within the bound on
-   * cancellations, and what may come late ends with them.
+   * Whether a start of a job that is over may still reach the machine, though its end was known long ago: the token
+   * can't be raised while the key-value store is unavailable. Unanswered, the worker's lease and session end within the
+   * bound on cancellations, and what may come late ends with them.
    */
   mayStillStartEndedJob(machine: Machine, now: number): boolean {
-    if (this.#attemptsOfEndedJobs.size === 0) return false;
-    for (const [attempt, where] of this.overdueEvictions(now)) {
-      if (where === machine && machine.mayStillStart(attempt)) return true;
-    }
-    return false;
+    return this.#endedJobAttempts.mayStillStartOn(machine, now);
   }
 
+  /** Carries changes of a machine's attempts into the dispatch tables. */
   apply(machine: Machine, changes: readonly AttemptChange[]): void {
     for (const { kind, attempt } of changes) {
       const table = this.shard.tables.get(attempt.job);
@@ -119,21 +108,16 @@
       else if (kind === 'exited') this.#exited(machine, attempt, table);
       else if (kind === 'gone' && table) this.#lost(table, attempt);
     }
-    if (changes.length > 0) {
-      if (!machine.isBusy) machine.idleSince = this.context.clock.now();
-      this.shard.wake();
-    }
+    if (changes.length === 0) return;
+    if (!machine.isBusy) machine.restartIdleTime(this.context.clock.now());
+    this.shard.wake();
   }
 
   #found(machine: Machine, attempt: Attempt, table: DispatchTable | undefined): void {
     if (attempt.phase === 'exited') return;
     if (!table) {
       this.#evictOfEndedJob(machine, attempt);
-    } else if (
-      !table.issued.has(attempt.task) &&
-      !table.isDone(attempt.task) &&
-      attempt.task < table.job.tasks
-    ) {
+    } else if (table.isUnassigned(attempt.task)) {
       table.issue(attempt.task, machine.id, attempt.key);
     } else {
       this.#mayHaveSurplus = true;
@@ -142,7 +126,7 @@
 
   /**
    * The attempt is no more. Its task is issued again only if no other attempt of it is left anywhere: after a
-   * takeover a report that was held up may show one that has long been replaced, and what the table then held for
+   * failover a heartbeat that was held up may show one that has long been replaced, and what the table then held for
    * the task was the wrong one of two.
    */
   #lost(table: DispatchTable, attempt: Attempt): void {
@@ -154,7 +138,7 @@
     }
   }
 
-  /** Once every machine is known, attempts that nobody has any use for are stopped. */
+  /** Once every machine is confirmed, attempts that are of no use are stopped. */
   evictSurplus(): void {
     if (!this.shard.areAllMachinesConfirmed || !this.#mayHaveSurplus) return;
     this.#mayHaveSurplus = false;
@@ -167,26 +151,18 @@
   }
 
   #exited(machine: Machine, attempt: Attempt, table: DispatchTable | undefined): void {
-    const now = this.context.clock.now();
     const { job, task, exitCause } = attempt;
     if (exitCause !== 'stopped')
       this.context.log.debug({ job, task, machine: machine.id, cause: exitCause }, 'attempt ended');
     if (!table) return;
-    if (exitCause === 'done') {
-      if (table.complete(task)) {
-        if (attempt.runningSince !== undefined)
-          this.shard.runTimes.learn(table.job, (now - attempt.runningSince) / 1000);
-        this.completed();
-        // Another attempt of it may be under way, if this one was taken for lost.
-        for (const [other] of this.shard.usage.attemptsOf(job)) {
-          if (other.task === task) this.#mayHaveSurplus = true;
-        }
-      }
-      table.onTaskSucceeded();
-      this.#quarantine.onTaskSucceeded(machine);
-      return;
-    }
+    if (exitCause === 'done') this.#completed(machine, attempt, table);
+    else this.#notCompleted(machine, attempt, table);
+  }
+
+  #notCompleted(machine: Machine, attempt: Attempt, table: DispatchTable): void {
+    const { job, task, exitCause } = attempt;
     this.#lost(table, attempt);
+    const now = this.context.clock.now();
     if (exitCause === 'error') {
       table.onTaskFailed(machine.id, now);
       this.#quarantine.onTaskFailed(machine, table);
@@ -198,8 +174,24 @@
     } else if (exitCause === 'no_room') {
       machine.backOff(now);
     } else if (exitCause === 'unknown') {
-      table.retryAt = now + UNKNOWN_JOB_PAUSE_MS;
+      table.pauseUntil(now + UNKNOWN_JOB_PAUSE_MS);
+    }
+  }
+
+  #completed(machine: Machine, attempt: Attempt, table: DispatchTable): void {
+    const { job, task, runningSince } = attempt;
+    if (table.complete(task)) {
+      if (runningSince !== undefined) {
+        this.shard.runTimes.learn(table.job, (this.context.clock.now() - runningSince) / 1000);
+      }
+      this.outputs.completions.wake();
+      // Another attempt of it may be under way, if this one was taken for lost.
+      for (const [other] of this.shard.usage.attemptsOf(job)) {
+        if (other.task === task) this.#mayHaveSurplus = true;
+      }
     }
+    table.onTaskSucceeded();
+    this.#quarantine.onTaskSucceeded(machine);
   }
 
   /** The start certainly never happened. */
@@ -218,8 +210,8 @@
   /** How many attempts of a job run. */
   runningCount(job: string): number {
     let running = 0;
-    for (const [a] of this.shard.usage.attemptsOf(job)) {
-      if (a.phase === 'running' || a.phase === 'checkpointing') running += 1;
+    for (const [{ phase }] of this.shard.usage.attemptsOf(job)) {
+      if (phase === 'running' || phase === 'checkpointing') running += 1;
     }
     return running;
   }
--- a/src/coordination/shard/command-dispatcher.ts
+++ b/src/coordination/shard/command-dispatcher.ts
@@ -1,40 +1,55 @@
+/** @file Sends commands to the workers of a shard and takes in what becomes of them. */
 import { describeError } from '../../base/loop';
-import type { WorkerCommand, WorkerHeartbeat } from '../../protocol/model';
+import type { ControllerContext } from '../controller-context';
+import { fencingTokenOf, type Attempt } from './attempt';
 import type { AttemptManager } from './attempt-manager';
+import { sendCommands, type CommandRequest, type CommandResult } from './command-client';
+import type { CommandQueue } from './command-queue';
+import type { HeartbeatReconciler } from './heartbeat-reconciler';
+import type { Machine } from './machine';
+import { ProbeQueue } from './probe-queue';
 import type { Shard } from './shard';
-import { sendCommands, type CommandResult } from './command-client';
-import type { ControllerContext } from '../controller-context';
-import { fencingTokenOf, type Attempt, type Machine } from './machine';
-
-const MAX_COMMANDS = 200;
-/** Between two questions to a machine that has not shown our token, or that hears nothing. */
-const PROBE_INTERVAL_MS = 1_000;
-/**
- * Questions that may be out and answered soon: each answer costs ten times a report. Those that have been out for
- * longer, to machines beyond a cut, hold up no others: a few dozen at a time took half a minute for a third of a fleet.
- */
-const MAX_RECENT_PROBES = 24;
-/** Commands that may be out while a large fleet's workers come. */
+import { commandsFor } from './worker-commands';
+
+/** Commands that may be in flight while a large fleet's workers come. */
 const MAX_IN_FLIGHT_WHILE_AWAITING_WORKERS = 8;
 
+/** Why commands are sent: because some are pending, or to make the worker report, also when there are none. */
+type SendReason = 'pending' | 'probe';
+
+/** A command that has left. */
+interface SentCommand {
+  readonly machine: Machine;
+  readonly incarnation: number;
+  /** Attempts whose starts it carries. */
+  readonly starts: readonly Attempt[];
+}
+
+/** The parts of a shard's owner that the dispatcher works with. */
+export interface CommandDispatcherParts {
+  readonly queue: CommandQueue;
+  readonly attempts: AttemptManager;
+  readonly reconciler: HeartbeatReconciler;
+}
+
 /** Sends each worker the difference between what is wanted of it and what is on it. */
 export class CommandDispatcher {
-  /** Machines with commands to be sent, in the order in which they came to have it. */
-  readonly #pending = new Set<Machine>();
+  readonly #queue: CommandQueue;
+  readonly #attempts: AttemptManager;
+  readonly #reconciler: HeartbeatReconciler;
+  readonly #probes: ProbeQueue;
   readonly #inFlight = new Set<Machine>();
   readonly #maxInFlight: number;
-  /** Machines with a question to come, the last one first. */
-  #probeQueue: Machine[] = [];
-  #probeRoundAt = -Infinity;
-  /** Those asked since then whose answers may still come soon. */
-  readonly #recentProbes = new Set<Machine>();
 
   constructor(
     private readonly shard: Shard,
-    private readonly attempts: () => AttemptManager,
     private readonly context: ControllerContext,
-    private readonly absorb: (machine: Machine, heartbeat: WorkerHeartbeat) => void,
+    { queue, attempts, reconciler }: CommandDispatcherParts,
   ) {
+    this.#queue = queue;
+    this.#attempts = attempts;
+    this.#reconciler = reconciler;
+    this.#probes = new ProbeQueue(shard);
     this.#maxInFlight = context.settings.sockets.commands;
   }
 
@@ -43,129 +58,76 @@
     return this.#inFlight.size;
   }
 
-  /** The machine is to be sent its commands at the end of the round. */
-  schedule(machine: Machine): void {
-    this.#pending.add(machine);
-  }
-
-  cancel(machine: Machine): void {
-    this.#pending.delete(machine);
-  }
-
-  /** Sends what is due, as far as sockets allow; the rest goes out as answers come in. */
+  /** Sends what is pending, as far as sockets allow; the rest goes out as answers come in. */
   flush(): void {
     const most = this.shard.isAwaitingWorkers(this.context.clock.now())
       ? MAX_IN_FLIGHT_WHILE_AWAITING_WORKERS
       : this.#maxInFlight;
-    for (const machine of this.#pending) {
+    for (const machine of this.#queue) {
       if (this.#inFlight.size >= most || !this.shard.entitled) return;
       if (this.#inFlight.has(machine)) continue;
-      this.#pending.delete(machine);
-      this.#sendCommands(machine, false);
+      this.#queue.delete(machine);
+      this.#send(machine, 'pending');
     }
   }
 
-  /**
-   * Asks machines directly that have not shown our token yet, for their reports may be on their way elsewhere, and
-   * those that seem to hear nothing. The longest unasked go first, the next as answers come in.
-   */
+  /** Probes the machines whose state is in doubt; the next ones as answers come in. */
   probe(now: number): void {
-    const due = new Set(this.shard.isAwaitingWorkers(now) ? [] : this.shard.unconfirmed);
-    // Workers that another node keeps may be within our reach all the same: their reports go there, so we ask.
-    const kept = this.shard.isRelayed;
-    for (const m of this.shard.machines.values()) {
-      if (
-        m.unresponsiveSince !== undefined ||
-        (kept && m.hasMissedHeartbeats(now, this.shard.timing.heartbeatTimeoutMs))
-      )
-        due.add(m);
-    }
-    this.#probeRoundAt = now;
-    this.#recentProbes.clear();
-    this.#probeQueue = [...due].sort((a, b) => b.lastProbeAt - a.lastProbeAt);
+    this.#probes.fill(now);
     this.#probeNext();
   }
 
   #probeNext(): void {
     const now = this.context.clock.now();
-    while (
-      this.#inFlight.size < this.#maxInFlight &&
-      this.#recentProbes.size < MAX_RECENT_PROBES &&
-      this.shard.entitled
-    ) {
-      const machine = this.#probeQueue.pop();
+    while (this.#inFlight.size < this.#maxInFlight && this.shard.entitled) {
+      const machine = this.#probes.next(now, this.#inFlight);
       if (!machine) return;
-      // What it reported meanwhile may have told what was to be asked.
-      const told =
-        machine.isConfirmed &&
-        machine.unresponsiveSince === undefined &&
-        (machine.lastHeartbeatAt ?? -1) >= this.#probeRoundAt;
-      if (!machine.isUp || machine.isTerminated || told) continue;
-      if (now - machine.lastProbeAt < PROBE_INTERVAL_MS || this.#inFlight.has(machine)) continue;
-      machine.lastProbeAt = now;
-      this.#recentProbes.add(machine);
-      this.#sendCommands(machine, true);
-    }
-  }
-
-  /** What is wanted of the machine. Starts go by command only: a command's answer tells what became of them. */
-  commandsFor(machine: Machine, withStarts: boolean): WorkerCommand[] {
-    const commands: WorkerCommand[] = [];
-    for (const attempt of machine.attempts.values()) {
-      if (commands.length >= MAX_COMMANDS) break;
-      const { job, task, number } = attempt;
-      if (attempt.phase === 'exited') {
-        const table = this.shard.tables.get(job);
-        // A completion is forgotten only once it is recorded: until then the worker is who remembers it.
-        const settled = attempt.exitCause !== 'done' || !table || table.recorded.has(task);
-        if (settled && machine.mayForget(attempt))
-          commands.push({ op: 'forget', job, task, attempt: number });
-      } else if (attempt.eviction) {
-        const saving = attempt.phase === 'checkpointing' && attempt.eviction.graceS > 0;
-        if (attempt.wasSent && !saving) {
-          commands.push({ op: 'stop', job, task, attempt: number, graceS: attempt.eviction.graceS });
-        }
-      } else if (withStarts && !attempt.wasSent) {
-        commands.push({ op: 'start', job, task, attempt: number });
-      }
+      this.#send(machine, 'probe');
     }
-    return commands;
   }
 
-  /** Sends the difference straight to the worker; with `asks` also when there is none, to hear from it. */
-  #sendCommands(machine: Machine, asks: boolean): void {
+  #send(machine: Machine, reason: SendReason): void {
     if (machine.record.address === '' || machine.isTerminated || !this.shard.entitled) return;
-    const unsent = [...machine.attempts.values()].filter((a) => !a.wasSent);
-    for (const attempt of unsent) {
-      // A start that has not left and is no longer wanted never will. Nor will one that was numbered under an
-      // earlier token: its number must name the token that it is sent with, for that is what ends all doubt about it.
-      if (attempt.eviction || fencingTokenOf(attempt.number) !== this.shard.fencingToken)
-        this.attempts().discardUnstarted(machine, attempt.key);
-    }
-    // What is asked of a machine that hears nothing holds no starts: they would be stuck there.
-    const commands = this.commandsFor(machine, machine.unresponsiveSince === undefined);
-    if (commands.length === 0 && !asks) return;
-    const starts = commands.filter((o) => o.op === 'start').length;
-    const sent = unsent.filter((a) => machine.attempts.has(a.key)).slice(0, starts);
-    for (const attempt of sent) {
-      attempt.wasSent = true;
-      attempt.isStartInFlight = true;
-    }
+    const unsent = [...machine.attempts.values()].filter((attempt) => !attempt.wasSent);
+    this.#discardUnwanted(machine, unsent);
+    // Commands to an unresponsive machine hold no starts: they would be stuck there.
+    const startPolicy = machine.unresponsiveSince === undefined ? 'with starts' : 'without starts';
+    const commands = commandsFor(machine, this.shard.tables, startPolicy);
+    if (commands.length === 0 && reason === 'pending') return;
+    const startCount = commands.filter(({ op }) => op === 'start').length;
+    const starts = unsent.filter(({ key }) => machine.attempts.has(key)).slice(0, startCount);
+    for (const attempt of starts) attempt.startSent();
     this.#inFlight.add(machine);
-    const incarnation = machine.incarnation > 0 ? machine.incarnation : machine.unverifiedIncarnation;
-    const command = {
+    const incarnation = machine.worker.addressedIncarnation;
+    const request: CommandRequest = {
       address: machine.record.address,
       fencingToken: this.shard.fencingToken,
       incarnation,
       commands,
       maySend: () => this.shard.entitled,
     };
-    void sendCommands(this.context.workers, command)
+    this.#follow({ machine, incarnation, starts }, request);
+  }
+
+  /**
+   * A start that has not left and is no longer wanted never will. Nor will one that was numbered under an earlier token:
+   * its number must name the token that it is sent with, for that is what ends all doubt about it.
+   */
+  #discardUnwanted(machine: Machine, unsent: readonly Attempt[]): void {
+    for (const attempt of unsent) {
+      if (attempt.eviction || fencingTokenOf(attempt.number) !== this.shard.fencingToken)
+        this.#attempts.discardUnstarted(machine, attempt.key);
+    }
+  }
+
+  #follow(sent: SentCommand, request: CommandRequest): void {
+    const { machine } = sent;
+    void sendCommands(this.context.workers, request)
       .then((result) => {
         this.#inFlight.delete(machine);
-        this.#recentProbes.delete(machine);
+        this.#probes.ended(machine);
         if (this.shard.machines.get(machine.id) === machine && !machine.isTerminated) {
-          this.#onResult(machine, incarnation, sent, result);
+          this.#onResult(sent, result);
         }
         this.flush();
         this.#probeNext();
@@ -175,37 +137,50 @@
       });
   }
 
-  #onResult(machine: Machine, incarnation: number, sent: readonly Attempt[], result: CommandResult): void {
-    for (const attempt of sent) attempt.isStartInFlight = false;
-    machine.isLastCommandUnanswered = result.kind === 'unknown' || result.kind === 'not sent';
+  #onResult(sent: SentCommand, result: CommandResult): void {
+    for (const attempt of sent.starts) attempt.startEnded();
+    if (result.kind === 'done' || result.kind === 'refused') this.#onAnswered(sent, result);
+    else this.#onUnanswered(sent, result.kind);
+  }
+
+  #onAnswered(sent: SentCommand, result: CommandResult & { kind: 'done' | 'refused' }): void {
+    const { machine } = sent;
+    machine.worker.commandAnswered();
+    if (result.report) this.#reconciler.reconcile(machine, result.report);
+    if (result.kind === 'refused') this.#discardUnstarted(machine, sent.starts);
+    this.#noteUnconfirmedStarts(sent);
+    // The first command to a machine whose session is not known yet is refused; the answer names it.
+    const isSessionNews = !machine.isConfirmed && machine.worker.incarnation !== sent.incarnation;
+    if (isSessionNews) this.#send(machine, 'probe');
+    else if (result.kind === 'done') this.#send(machine, 'pending');
+    // One that refuses for another reason is sent commands again at the pace of rounds.
+    else this.#queue.add(machine);
+  }
+
+  #onUnanswered(sent: SentCommand, kind: 'not sent' | 'unknown'): void {
+    const { machine } = sent;
     const now = this.context.clock.now();
-    if (result.kind === 'done' || result.kind === 'refused') {
-      machine.unresponsiveSince = undefined;
-      if (result.report) this.absorb(machine, result.report);
-    }
-    if (result.kind === 'refused' || result.kind === 'not sent') {
-      for (const attempt of sent) this.attempts().discardUnstarted(machine, attempt.key);
-      if (result.kind === 'not sent') machine.backOff(now);
+    if (kind === 'not sent') {
+      machine.worker.commandNotSent();
+      this.#discardUnstarted(machine, sent.starts);
+    } else {
+      machine.worker.commandUnanswered(now);
     }
-    if (sent.some((a) => a.phase === 'starting' && machine.attempts.get(a.key) === a))
+    machine.backOff(now);
+    this.#noteUnconfirmedStarts(sent);
+    this.context.log.debug({ machine: machine.id, result: kind }, 'command unanswered');
+    // What was placed here meanwhile goes elsewhere: the machine may be hanging.
+    const unsent = [...machine.attempts.values()].filter((attempt) => !attempt.wasSent);
+    this.#discardUnstarted(machine, unsent);
+    this.shard.wake();
+  }
+
+  #discardUnstarted(machine: Machine, attempts: readonly Attempt[]): void {
+    for (const attempt of attempts) this.#attempts.discardUnstarted(machine, attempt.key);
+  }
+
+  #noteUnconfirmedStarts({ machine, starts }: SentCommand): void {
+    if (starts.some((a) => a.phase === 'starting' && machine.attempts.get(a.key) === a))
       this.shard.hasUnconfirmedStarts = true;
-    if (machine.isLastCommandUnanswered) {
-      this.context.log.debug({ machine: machine.id, result: result.kind }, 'command unanswered');
-      if (result.kind === 'unknown') {
-        machine.backOff(now);
-        machine.unresponsiveSince ??= now;
-        machine.lastProbeAt = now;
-      }
-      // What was placed here meanwhile goes elsewhere: the machine may be hanging.
-      for (const attempt of [...machine.attempts.values()])
-        if (!attempt.wasSent) this.attempts().discardUnstarted(machine, attempt.key);
-      this.shard.wake();
-      return;
-    }
-    // The first command to a machine whose session we did not know yet is refused; the answer tells it.
-    const again = !machine.isConfirmed && machine.incarnation !== incarnation;
-    // One that refuses us for another reason is asked again at the pace of rounds.
-    if (again || result.kind === 'done') this.#sendCommands(machine, again);
-    else this.schedule(machine);
   }
 }
--- a/src/coordination/shard/dispatch-table.ts
+++ b/src/coordination/shard/dispatch-table.ts
@@ -1,93 +1,118 @@
+/** @file The dispatch table of one job: which of its tasks are unassigned, issued or done. */
 import { Bitmap } from '../../bookkeeping/bitmap';
 import type { CompletionRecord, StoredCompletions } from '../../bookkeeping/completion-records';
 import type { JobRecord } from '../../bookkeeping/records';
 import { PRIORITY_RANK, type Job, type Priority } from '../../protocol/model';
+import { JobFailures } from './job-failures';
 
 const UNASSIGNED = 0;
 const ISSUED = 1;
 const DONE = 2;
 
-const FIRST_PAUSE_MS = 2_000;
-const LONGEST_PAUSE_MS = 60_000;
-/** How long a machine that failed a task of the job gets no more of it. Longer, and the job might wait for ever: there may be no other. */
-const AVOID_MS = 60_000;
-const NONE: ReadonlySet<string> = new Set();
-/** A job that failed on so many machines, and succeeded on none, is taken to be at fault itself. */
-const MACHINES_TO_BLAME_JOB = 3;
+/** The attempt that an issued task is on. */
+export interface IssuedAttempt {
+  readonly machine: string;
+  readonly key: string;
+}
 
 /**
- * The Dispatch Table of one job: each task is unassigned, issued or done. It lives in memory and is rebuilt from the
- * done bitmap and the workers' reports.
+ * The dispatch table of one job: each task is unassigned, issued or done. It lives in memory and is rebuilt from the
+ * completion records and the workers' heartbeats.
  */
 export class DispatchTable {
   readonly submittedAt: number;
-  /** Time of day from which on the job waits for machines only: its submission, or the end of its last dependency. */
-  waitingSince: number;
-  /** Whether all that the job needs is done; once true it stays true. */
-  isReady: boolean;
-  /** What the state service has acknowledged. */
+  /** What the key-value store has acknowledged. */
   readonly recorded: Bitmap;
-  /** Versions of the job's completion records in the state service, by their keys. */
+  /** Versions of the job's completion records in the key-value store, by their keys. */
   readonly recordVersions = new Map<string, number>();
   /** Done by a worker's word, not yet recorded. */
   readonly unrecorded = new Set<number>();
   /** The attempt that each issued task is on. */
-  readonly issued = new Map<number, { machine: string; key: string }>();
-  readonly failedMachines = new Set<string>();
-  readonly #failedAt = new Map<string, number>();
-  retryAt = 0;
-  /** When its completions were last written, or were to be. */
-  lastRecordedAt = -Infinity;
-  #job: Job;
+  readonly issued = new Map<number, IssuedAttempt>();
   readonly #ownPriority: Priority;
-  #consecutiveFailures = 0;
+  readonly #states: Uint8Array;
+  readonly #failures = new JobFailures();
+  #job: Job;
+  #waitingSince: number;
+  #isReady: boolean;
+  #retryAt = 0;
+  #lastRecordedAt = -Infinity;
   #unassigned: number;
   /** No task below this one is unassigned. */
   #lowest = 0;
-  readonly #states: Uint8Array;
 
   constructor(
     record: JobRecord,
+    /** The version of the job's record. */
     readonly version: number,
   ) {
-    this.#job = record.job;
-    this.#ownPriority = record.job.priority;
-    this.submittedAt = record.submittedAt;
-    this.waitingSince = record.submittedAt;
-    this.isReady = record.job.dependencies === undefined && record.dependencyParts === undefined;
-    this.recorded = new Bitmap(this.job.tasks);
-    this.#states = new Uint8Array(this.job.tasks);
-    this.#unassigned = this.job.tasks;
+    const { job, submittedAt } = record;
+    this.#job = job;
+    this.#ownPriority = job.priority;
+    this.submittedAt = submittedAt;
+    this.#waitingSince = submittedAt;
+    this.#isReady = job.dependencies === undefined && record.dependencyParts === undefined;
+    this.recorded = new Bitmap(job.tasks);
+    this.#states = new Uint8Array(job.tasks);
+    this.#unassigned = job.tasks;
   }
 
-  /** The job as it is scheduled: with the highest priority of all that need it. */
+  // The job.
+
+  /** The job as it is scheduled: with the highest priority of all that depend on it. */
   get job(): Job {
     return this.#job;
   }
 
-  /** The highest priority of the jobs that need this one; undefined where there are none any more. */
+  /** The highest priority of the jobs that depend on this one; undefined where there are none any more. */
   setChainPriority(priority: Priority | undefined): void {
     const isHigher = priority !== undefined && PRIORITY_RANK[priority] < PRIORITY_RANK[this.#ownPriority];
     const effective = isHigher ? priority : this.#ownPriority;
     if (effective !== this.#job.priority) this.#job = { ...this.#job, priority: effective };
   }
 
+  /** Whether all that the job depends on is done; once true it stays true. */
+  get isReady(): boolean {
+    return this.#isReady;
+  }
+
+  /** Time of day from which on the job waits for machines only: its submission, or the end of its last dependency. */
+  get waitingSince(): number {
+    return this.#waitingSince;
+  }
+
+  /** All that the job depends on is done; the last of it ended at this time of day. */
+  becomeReady(lastDependencyEndedAt: number): void {
+    this.#isReady = true;
+    this.#waitingSince = Math.max(this.submittedAt, lastDependencyEndedAt);
+  }
+
+  // Its tasks.
+
+  /** How many tasks are unassigned. */
   get unassigned(): number {
     return this.#unassigned;
   }
 
+  /** How many tasks are done, recorded or not. */
   get done(): number {
     return this.recorded.count + this.unrecorded.size;
   }
 
+  /** How many tasks are not done. */
   get remaining(): number {
-    return this.job.tasks - this.done;
+    return this.#job.tasks - this.done;
   }
 
   isDone(task: number): boolean {
     return this.#states[task] === DONE;
   }
 
+  /** Whether the task is one of the job's, and neither issued nor done. */
+  isUnassigned(task: number): boolean {
+    return this.#states[task] === UNASSIGNED;
+  }
+
   /** The first unassigned task, or -1. */
   nextUnassigned(): number {
     if (this.#unassigned === 0) return -1;
@@ -95,8 +120,9 @@
     return this.#lowest;
   }
 
+  /** The task is on this attempt from now on. */
   issue(task: number, machine: string, key: string): void {
-    if (this.#states[task] !== UNASSIGNED) throw new Error(`task ${task} is not unassigned`);
+    if (!this.isUnassigned(task)) throw new Error(`task ${task} is not unassigned`);
     this.#states[task] = ISSUED;
     this.#unassigned -= 1;
     this.issued.set(task, { machine, key });
@@ -115,13 +141,31 @@
 
   /** The first completion counts. False: the task was done before, and this one is discarded. */
   complete(task: number): boolean {
-    if (task >= this.job.tasks || this.#states[task] === DONE) return false;
+    if (task >= this.#job.tasks || this.isDone(task)) return false;
     this.#setDone(task);
     this.unrecorded.add(task);
     return true;
   }
 
-  /** Takes in a completion record that the state service has. */
+  #setDone(task: number): void {
+    if (this.isUnassigned(task)) this.#unassigned -= 1;
+    this.#states[task] = DONE;
+    this.issued.delete(task);
+  }
+
+  // Its completion records.
+
+  /** When its completions were last written, or were to be. */
+  get lastRecordedAt(): number {
+    return this.#lastRecordedAt;
+  }
+
+  /** Its completions are about to be written. */
+  recordingBegins(now: number): void {
+    this.#lastRecordedAt = now;
+  }
+
+  /** Takes in a completion record that the key-value store has. */
   mergeRecorded(key: string, { first, bits }: StoredCompletions, version: number): void {
     if (version <= (this.recordVersions.get(key) ?? 0)) return;
     this.recordVersions.set(key, version);
@@ -131,7 +175,7 @@
     }
   }
 
-  /** The state service has acknowledged these completions. */
+  /** The key-value store has acknowledged these completions. */
   markRecorded(tasks: readonly number[]): void {
     for (const task of tasks) {
       this.recorded.set(task);
@@ -144,37 +188,38 @@
     return this.recorded.encode(first, end, tasks);
   }
 
-  #setDone(task: number): void {
-    if (this.#states[task] === UNASSIGNED) this.#unassigned -= 1;
-    this.#states[task] = DONE;
-    this.issued.delete(task);
+  // Its failures.
+
+  /** No task of the job starts before this time. */
+  get retryAt(): number {
+    return this.#retryAt;
+  }
+
+  /** No task of the job starts before this time. */
+  pauseUntil(time: number): void {
+    this.#retryAt = time;
   }
 
+  /** A task completed. */
   onTaskSucceeded(): void {
-    this.#consecutiveFailures = 0;
-    this.failedMachines.clear();
-    this.#failedAt.clear();
-    this.retryAt = 0;
+    this.#failures.clear();
+    this.#retryAt = 0;
   }
 
   /** After failures on several machines the job is retried with growing pauses, until its user cancels it. */
   onTaskFailed(machine: string, now: number): void {
-    this.failedMachines.add(machine);
-    this.#failedAt.set(machine, now);
-    this.#consecutiveFailures += 1;
-    if (this.failedMachines.size < 2 || this.done > 0) return;
-    const pause = FIRST_PAUSE_MS * 2 ** Math.min(this.#consecutiveFailures - 2, 10);
-    this.retryAt = now + Math.min(LONGEST_PAUSE_MS, pause);
+    this.#failures.add(machine, now);
+    const pauseMs = this.#failures.pauseMs;
+    if (this.done === 0 && pauseMs > 0) this.#retryAt = now + pauseMs;
   }
 
   /** Machines that get no task of the job now. */
   machinesToAvoid(now: number): ReadonlySet<string> {
-    if (this.#failedAt.size === 0) return NONE;
-    return new Set([...this.#failedAt].filter(([, at]) => now - at < AVOID_MS).map(([machine]) => machine));
+    return this.#failures.machinesToAvoid(now);
   }
 
   /** Whether failures of its tasks say nothing about the machines that they ran on. */
   get isJobSuspect(): boolean {
-    return this.done === 0 && this.failedMachines.size >= MACHINES_TO_BLAME_JOB;
+    return this.done === 0 && this.#failures.areJobsFault;
   }
 }
--- a/src/coordination/shard/heartbeat-reconciler.ts
+++ b/src/coordination/shard/heartbeat-reconciler.ts
@@ -1,4 +1,4 @@
-/** @file Squares what a worker says of its machine with what the shard's owner knows. */
+/** @file Reconciles what a worker says of its machine with what the shard's owner knows. */
 import type { WorkerHeartbeat } from '../../protocol/model';
 import type { ControllerContext } from '../controller-context';
 import type { AttemptManager } from './attempt-manager';
@@ -18,18 +18,16 @@
     const { shard } = this;
     const now = this.context.clock.now();
     const { heartbeatTimeoutMs, leaseMs } = shard.timing;
-    const wasSilent =
-      machine.lastHeartbeatAt === undefined || now - machine.lastHeartbeatAt > heartbeatTimeoutMs;
+    const wasSilent = !machine.worker.hasRecentHeartbeat(now, heartbeatTimeoutMs);
     const changes = machine.reconcile(heartbeat, now, leaseMs, (job) => this.attempts.describe(job));
     this.#checkFencingToken(machine, heartbeat);
     if (wasSilent) {
-      // Out of reach it was of no use to anybody: counted as idle all that time, the machines of a zone that had been cut
-      // off were returned by the hundred the moment they came back, before any waiting task could be placed there.
-      machine.idleSince = now;
+      // Out of reach it could not be used: counted as idle all that time, the machines of a zone that had been cut off
+      // were returned by the hundred the moment they came back, before any waiting task could be placed there.
+      machine.restartIdleTime(now);
       shard.wake();
     }
-    const isDrainObsolete = machine.drainReason === 'unresponsive' && !machine.isReturnRequested;
-    if (isDrainObsolete && machine.unresponsiveSince === undefined) machine.drainReason = undefined;
+    machine.cancelDrainIfResponsive();
     this.attempts.apply(machine, changes);
   }
 
@@ -44,7 +42,7 @@
         'worker has seen a higher fencing token',
       );
     }
-    if (machine.isConfirmed || machine.fencingTokenSeen < fencingToken) return;
+    if (machine.isConfirmed || machine.worker.fencingTokenSeen < fencingToken) return;
     shard.confirm(machine);
     log.debug({ shard: number, machine: machine.id, attempts: machine.attempts.size }, 'machine confirmed');
     shard.wake();
--- a/src/coordination/shard/machine-registration.ts
+++ b/src/coordination/shard/machine-registration.ts
@@ -1,22 +1,22 @@
-/** @file Records that machines are up before their first reports are answered. */
+/** @file Records that machines are up before their first heartbeats are answered. */
 import { describeError } from '../../base/loop';
 import { changesAtOnce } from '../../base/state-limits';
 import { KEY, type MachineRecord } from '../../bookkeeping/records';
 import type { Condition } from '../../protocol/key-value-store';
-import type { Shard } from './shard';
 import type { ControllerContext } from '../controller-context';
 import type { Machine } from './machine';
+import type { Shard } from './shard';
 
 const GATHER_MS = 40;
-const MOST_AT_ONCE = 12;
+const MAX_RECORDS_AT_ONCE = 12;
 
-/** What became of the record of a machine. `conflict`: somebody else has recorded it. */
+/** What became of the record of a machine. `conflict`: another writer changed it meanwhile. */
 export type RegistrationOutcome = 'recorded' | 'conflict' | 'failed';
 
 /** A machine of the shard, or the record of a rental that was never written. */
 type RecordSubject = { kind: 'known'; machine: Machine } | { kind: 'rental'; record: MachineRecord };
 
-/** A machine whose worker reports, and whose record is to say so. */
+/** A machine whose worker sends heartbeats, and whose record is to say so. */
 interface PendingRecord {
   readonly id: string;
   readonly address: string;
@@ -33,15 +33,15 @@
 }
 
 /**
- * Before a machine gets its first answer it is recorded as up: a takeover then knows that it may hold tasks. Machines
- * come up by the dozen, so what is to be recorded within a moment goes into one transaction.
+ * Before a machine gets its first answer it is recorded as up: after a failover the next owner then knows that it may
+ * hold tasks. Machines come up by the dozen, so what is to be recorded within a moment goes into one transaction.
  *
  * A machine may be up before the record of its rental was written, as the limit on changes allows only dozens a second:
  * one write then records both.
  */
 export class MachineRegistration {
   readonly #pending = new Map<string, PendingRecord>();
-  #writing = false;
+  #isWriting = false;
 
   constructor(
     private readonly shard: Shard,
@@ -71,15 +71,15 @@
       resolve = r;
     });
     this.#pending.set(id, { id, address, subject, promise, resolve });
-    if (!this.#writing) void this.#writeAll();
+    if (!this.#isWriting) void this.#writeAll();
     return promise;
   }
 
   async #writeAll(): Promise<void> {
-    this.#writing = true;
+    this.#isWriting = true;
     await this.context.clock.sleep(GATHER_MS);
     while (this.#pending.size > 0) {
-      const most = changesAtOnce(this.context.settings.platform.deployment.state, MOST_AT_ONCE);
+      const most = changesAtOnce(this.context.settings.platform.deployment.state, MAX_RECORDS_AT_ONCE);
       const batch = [...this.#pending.values()].slice(0, most);
       const outcomes = await this.#write(batch);
       for (const pending of batch) {
@@ -87,7 +87,7 @@
         pending.resolve(outcomes.get(pending) ?? 'failed');
       }
     }
-    this.#writing = false;
+    this.#isWriting = false;
   }
 
   /** Writes the records of a batch; those that aren't named in the result were not written. */
@@ -101,7 +101,7 @@
           for (const { pending } of open) outcomes.set(pending, 'recorded');
           break;
         }
-        // One that changed meanwhile holds up no other.
+        // A record that changed meanwhile holds up no other.
         const conflicts = open.filter(({ condition }) => failed.includes(condition.key));
         for (const { pending } of conflicts) outcomes.set(pending, 'conflict');
         if (conflicts.length === 0) break;
@@ -143,15 +143,14 @@
     }
     const machine = subject.kind === 'rental' ? this.shard.machines.get(id) : subject.machine;
     if (!machine) return;
-    machine.isUp = true;
-    machine.record.address = pending.address;
-    machine.idleSince = this.context.clock.now();
-    // It was rented for this shard and had no record until now, so nobody can have answered it: it holds nothing.
+    const now = this.context.clock.now();
+    machine.recordedUp(pending.address, now);
+    // It was rented for this shard and had no record until now, so no owner can have answered it: it holds nothing.
     if (subject.kind === 'rental') {
-      machine.wasNeverAnswered = true;
+      machine.worker.confirmNeverAnswered();
       this.shard.confirm(machine);
     }
-    const ageS = Math.round((machine.idleSince - machine.knownSince) / 1000);
+    const ageS = Math.round((now - machine.knownSince) / 1000);
     const { type, record } = machine;
     this.context.log.info({ machine: id, type: type.name, zone: record.zone, ageS }, 'machine up');
   }
--- a/src/coordination/shard/run-time-estimates.ts
+++ b/src/coordination/shard/run-time-estimates.ts
@@ -7,13 +7,13 @@
 const MIN_RATIO = 0.2;
 const MAX_RATIO = 5;
 
-/** Ratios of real run time to the users' estimates, learned per job class as a moving average. */
+/** Ratios of the measured run time to the users' estimates, learned for each job class as a moving average. */
 export class RunTimeEstimates {
   readonly #ratios = new Map<string, number>();
 
-  /** Takes in that a task of the job ran for so long. */
-  learn(job: Job, ranS: number): void {
-    const ratio = Math.min(MAX_RATIO, Math.max(MIN_RATIO, ranS / job.estimateS));
+  /** Takes in how long a task of the job ran. */
+  learn(job: Job, elapsedS: number): void {
+    const ratio = Math.min(MAX_RATIO, Math.max(MIN_RATIO, elapsedS / job.estimateS));
     const before = this.#ratios.get(job.jobClass) ?? 1;
     this.#ratios.set(job.jobClass, before + WEIGHT * (ratio - before));
   }
--- a/test/machine.test.ts
+++ b/test/machine.test.ts
@@ -20,7 +20,7 @@
     up: true,
     rentedAt: 0,
   };
-  return new Machine('host-1', record, type, now, now);
+  return new Machine({ id: 'host-1', record, type, firstSeenAt: now, knownSince: now });
 }
 
 const unknownJob = (): never => {
@@ -30,12 +30,12 @@
 test('a worker that answers commands but whose reports got no answer for a lease is given no starts', () => {
   const machine = machineTakenAt(0);
   machine.reconcile(reportOf(1, 1), 1000, 10_000, unknownJob);
-  machine.isConfirmed = true;
+  machine.worker.confirm();
   assert.equal(machine.isSchedulable(1500, 10_000, 2_000), true);
   // It answers commands all the time, but the lease that its reports renew has run out.
   machine.reconcile(reportOf(1, 2), 11_900, 10_000, unknownJob);
   assert.equal(machine.isSchedulable(12_000, 10_000, 2_000), false);
-  machine.lastRenewalAt = 12_000;
+  machine.worker.leaseRenewed(12_000);
   assert.equal(machine.isSchedulable(12_100, 10_000, 2_000), true);
 });
 
@@ -49,11 +49,11 @@
 
 test('a copy of a report is no heartbeat; a machine whose session changed though it was answered is one-way unreachable', () => {
   const machine = machineTakenAt(0);
-  machine.isConfirmed = true;
+  machine.worker.confirm();
   machine.reconcile(reportOf(1, 5), 1_000, 10_000, unknownJob);
   machine.reconcile(reportOf(1, 4), 2_500, 10_000, unknownJob);
   assert.equal(machine.lastHeartbeatAt, 1_000);
-  machine.lastRenewalAt = 9_000;
+  machine.worker.leaseRenewed(9_000);
   machine.reconcile(reportOf(2, 1), 11_000, 10_000, unknownJob);
   assert.equal(machine.unresponsiveSince, 11_000);
   assert.equal(machine.isSchedulable(11_100, 10_000, 2_000), false);
--- a/test/state-limits-fall.test.ts
+++ b/test/state-limits-fall.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { WakeSignal } from '../src/base/clock';
 import { runLoop } from '../src/base/loop';
 import { makeSettings } from '../src/base/settings';
 import { WatchCache } from '../src/bookkeeping/watch-cache';
@@ -24,6 +25,7 @@
   readonly recorder: CompletionRecorder;
   readonly shard: Shard;
   readonly closed: string[] = [];
+  readonly #completions: WakeSignal;
   readonly #stop = new AbortController();
 
   private constructor(
@@ -65,7 +67,8 @@
       },
       onCompletionsRecorded: () => undefined,
     };
-    this.recorder = new CompletionRecorder(recorded, context);
+    this.#completions = new WakeSignal(service.clock);
+    this.recorder = new CompletionRecorder(recorded, context, this.#completions);
     const { signal } = this.#stop;
     void runLoop('records', () => this.recorder.step(signal), { clock: service.clock, log: quiet, signal });
   }
@@ -86,7 +89,7 @@
 
   complete(from: number, to: number, step = 1): void {
     for (let task = from; task < to; task += step) this.table.complete(task);
-    this.recorder.wake();
+    this.#completions.wake();
   }
 
   async untilRecorded(limitS = 60): Promise<void> {
--- a/test/transactions.test.ts
+++ b/test/transactions.test.ts
@@ -2,9 +2,10 @@
 import { test } from 'node:test';
 import type { Shard } from '../src/coordination/shard/shard';
 import type { ControllerContext } from '../src/coordination/controller-context';
-import type { Machine } from '../src/coordination/shard/machine';
+import { Machine } from '../src/coordination/shard/machine';
 import { MachineRegistration } from '../src/coordination/shard/machine-registration';
 import { NoResponseError } from '../src/transport/http-client';
+import { type } from './decision-inputs';
 import { FakeClock } from './fakes/clock';
 import type { Fate, Request } from './fakes/network';
 import { World } from './fakes/world';
@@ -320,8 +321,9 @@
   const context = { cache, store, clock, settings, log } as unknown as ControllerContext;
   const shard = { leaseCondition: () => ({ key: 'live/lease/0', version: 3 }) } as unknown as Shard;
   const upRecords = new MachineRegistration(shard, context);
+  const record = { block: 0, address: '', type: 'm4', zone: 'a', spot: true, up: false, rentedAt: 0 };
   const machine = (id: string): Machine =>
-    ({ id, type: { name: 'm4' }, record: { block: 0, up: false } }) as unknown as Machine;
+    new Machine({ id, record: { ...record }, type, firstSeenAt: 0, knownSince: 0 });
   // The first was returned, and its record deleted, between its report and its turn to be written.
   const answers = Promise.all(
     ['host-1', 'host-2'].map((id) => upRecords.register(machine(id), '10.1.0.1:1')),
--- a/test/zones.test.ts
+++ b/test/zones.test.ts
@@ -97,7 +97,9 @@
   const owner = world.controllers[world.owner]?.controller.owners.get(0);
   const machine = owner?.machines.get(world.where('req-1/0') ?? '');
   assert.ok(owner && machine);
-  machine.latestLeaseStart = 0;
+  // Between two heartbeats: the last answer is in the past.
+  await world.clock.advance(50);
+  assert.ok(machine.latestLeaseStart < world.clock.now());
   owner.onChange({ key: 'live/keep/0/node-1', version: 10 ** 6, deleted: true });
   assert.equal(machine.latestLeaseStart, world.clock.now());
 });
