--- a/src/coordination/shard/attempt-manager.ts
+++ b/src/coordination/shard/attempt-manager.ts
@@ -24,7 +24,7 @@
 export class AttemptManager {
   readonly #quarantine = new QuarantinePolicy();
   readonly #endedJobAttempts: EndedJobAttempts;
-  /** Something was found that no table asked for, since surplus was last looked for. */
+  /** An attempt was found that no table has use for, since surplus was last evicted. */
   #mayHaveSurplus = true;
 
   constructor(
@@ -40,7 +40,7 @@
     return describeTask(this.shard.tables.get(id)?.job);
   }
 
-  /** Issues the next task of a job to the machine on which it was placed. */
+  /** Issues the next task of a job to the machine on which it was placed; `now` is the time of the round. */
   issue(placement: Placement, now: number): void;
   issue({ job, machine: id, isBoosted }: Placement): void {
     const table = this.shard.tables.get(job);
@@ -185,7 +185,7 @@
         this.shard.runTimes.learn(table.job, (this.context.clock.now() - runningSince) / 1000);
       }
       this.outputs.completions.wake();
-      // Another attempt of it may be under way, if this one was taken for lost.
+      // Another attempt of it may be under way, if this one was assumed to be lost.
       for (const [other] of this.shard.usage.attemptsOf(job)) {
         if (other.task === task) this.#mayHaveSurplus = true;
       }
--- a/src/coordination/shard/command-client.ts
+++ b/src/coordination/shard/command-client.ts
@@ -5,10 +5,10 @@
 
 /** What became of a command. */
 export type CommandResult =
-  | { kind: 'done'; report: WorkerHeartbeat }
+  | { kind: 'done'; heartbeat: WorkerHeartbeat }
   /** Not executed: the fencing token or the incarnation did not match. */
-  | { kind: 'refused'; report: WorkerHeartbeat | undefined }
-  /** Not executed: no connection could be made, or the sender lost the right to act. */
+  | { kind: 'refused'; heartbeat: WorkerHeartbeat | undefined }
+  /** Not executed: not a byte of the request can have left. */
   | { kind: 'not sent' }
   /** Unanswered. It may have been executed, and may still be, much later. */
   | { kind: 'unknown' };
@@ -21,7 +21,7 @@
   readonly fencingToken: number;
   readonly incarnation: number;
   readonly commands: readonly WorkerCommand[];
-  /** Whether the sender still has the right to act; asked right before the request leaves. */
+  /** Whether the sender still has the right to act; checked right before the request leaves. */
   maySend(): boolean;
 }
 
@@ -31,9 +31,9 @@
   const body = writeCommandRequest(fencingToken, incarnation, commands);
   try {
     const response = await http.call(address, 'POST', '/do', body, TIMEOUT_MS, () => request.maySend());
-    const report = parseHeartbeat(response.body);
-    if (response.status === 200 && report) return { kind: 'done', report };
-    if (response.status === 409 || response.status === 400) return { kind: 'refused', report };
+    const heartbeat = parseHeartbeat(response.body);
+    if (response.status === 200 && heartbeat) return { kind: 'done', heartbeat };
+    if (response.status === 409 || response.status === 400) return { kind: 'refused', heartbeat };
     return { kind: 'unknown' };
   } catch (error) {
     if (error instanceof NoResponseError && !error.mayHaveExecuted) return { kind: 'not sent' };
--- a/src/coordination/shard/command-dispatcher.ts
+++ b/src/coordination/shard/command-dispatcher.ts
@@ -14,7 +14,7 @@
 /** Commands that may be in flight while a large fleet's workers come. */
 const MAX_IN_FLIGHT_WHILE_AWAITING_WORKERS = 8;
 
-/** Why commands are sent: because some are pending, or to make the worker report, also when there are none. */
+/** Why commands are sent: because some are pending, or to get the worker's state, also when there are none. */
 type SendReason = 'pending' | 'probe';
 
 /** A command that has left. */
@@ -146,7 +146,7 @@
   #onAnswered(sent: SentCommand, result: CommandResult & { kind: 'done' | 'refused' }): void {
     const { machine } = sent;
     machine.worker.commandAnswered();
-    if (result.report) this.#reconciler.reconcile(machine, result.report);
+    if (result.heartbeat) this.#reconciler.reconcile(machine, result.heartbeat);
     if (result.kind === 'refused') this.#discardUnstarted(machine, sent.starts);
     this.#noteUnconfirmedStarts(sent);
     // The first command to a machine whose session is not known yet is refused; the answer names it.
--- a/src/coordination/shard/machine-resources.ts
+++ b/src/coordination/shard/machine-resources.ts
@@ -24,6 +24,7 @@
     return this.#occupants > 0;
   }
 
+  /** CPUs that no attempt occupies. */
   get freeCpus(): number {
     return this.machine.type.cpus - this.#used.cpus;
   }
--- a/src/coordination/shard/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -113,6 +113,7 @@
 
   // What is on it.
 
+  /** The attempts on it, or that may be, by their keys. */
   get attempts(): ReadonlyMap<string, Attempt> {
     return this.#attempts.byKey;
   }
@@ -122,6 +123,7 @@
     return this.#images.sizesGb;
   }
 
+  /** CPUs that no attempt occupies. */
   get freeCpus(): number {
     return this.#resources.freeCpus;
   }
--- a/src/coordination/shard/probe-queue.ts
+++ b/src/coordination/shard/probe-queue.ts
@@ -29,7 +29,7 @@
     const { shard } = this;
     const due = new Set(shard.isAwaitingWorkers(now) ? [] : shard.unconfirmed);
     // Workers whose leases another controller relays may be within our reach all the same: their heartbeats go there, so
-    // they are asked.
+    // they are probed.
     const { isRelayed } = shard;
     for (const machine of shard.machines.values()) {
       if (
@@ -64,8 +64,8 @@
 
   #isWorthwhile(machine: Machine): boolean {
     if (!machine.isUp || machine.isTerminated) return false;
-    // What it reported meanwhile may have shown what the probe was for.
-    const hasReported = (machine.lastHeartbeatAt ?? -1) >= this.#filledAt;
-    return !(machine.isConfirmed && machine.unresponsiveSince === undefined && hasReported);
+    // A heartbeat that came meanwhile may have shown what the probe was for.
+    const hasSentHeartbeat = (machine.lastHeartbeatAt ?? -1) >= this.#filledAt;
+    return !(machine.isConfirmed && machine.unresponsiveSince === undefined && hasSentHeartbeat);
   }
 }
--- a/src/coordination/shard/round-loop.ts
+++ b/src/coordination/shard/round-loop.ts
@@ -7,8 +7,8 @@
 import type { Shard } from './shard';
 import { summarizeShard } from './shard-summary';
 
-/** Between two looks at what need not be looked at in every round. */
-export const TICK_MS = 250;
+/** The longest time between two rounds, and the shortest between two runs of the periodic tasks. */
+const TICK_MS = 250;
 const EVENTS_GATHER_MS = 4;
 /** Rounds get at most one part in so many of the time: heartbeats, commands and users need the rest. */
 const ROUND_PART = 4;
@@ -61,7 +61,7 @@
     this.#runPeriodicTasks(now);
     const isUnfinished = !this.shard.isAwaitingWorkers(now) && this.#scheduler.round(now);
     this.#dispatcher.flush();
-    if (this.#handover) this.#reportProgress(this.#handover, isUnfinished);
+    if (this.#handover) this.#traceProgress(this.#handover, isUnfinished);
     this.#logSummary(now);
     if (isUnfinished) this.#wake.wake();
     const pauseMs = (clock.now() - now) * (ROUND_PART - 1);
@@ -77,7 +77,7 @@
   }
 
   /** After a round: how far the handover is. */
-  #reportProgress(handover: HandoverTrace, isRoundUnfinished: boolean): void {
+  #traceProgress(handover: HandoverTrace, isRoundUnfinished: boolean): void {
     const { shard } = this;
     if (!shard.areAllMachinesConfirmed) return;
     handover.reached('workers confirmed', { machines: shard.machines.size });
--- a/src/coordination/shard/shard-owner.ts
+++ b/src/coordination/shard/shard-owner.ts
@@ -20,9 +20,11 @@
 import { MachineRegistration } from './machine-registration';
 import type { OwnerResponse } from './owner-response';
 import { RecordChangeHandler, type RecordChangeListener } from './record-change-handler';
-import { RoundLoop, TICK_MS } from './round-loop';
+import { RoundLoop } from './round-loop';
 import { Shard, type ShardTenure } from './shard';
 
+const LEASE_EXPIRY_INTERVAL_MS = 250;
+
 /**
  * The owner of one shard. It holds what is wanted (jobs) and what is (machines and their attempts), and works out the
  * difference in rounds. It acts only while the session is valid.
@@ -112,7 +114,7 @@
   }
 
   async #leaseExpiryStep(signal: AbortSignal): Promise<void> {
-    await this.context.clock.sleep(TICK_MS, signal);
+    await this.context.clock.sleep(LEASE_EXPIRY_INTERVAL_MS, signal);
     if (this.entitled) await this.#scheduler.expireLeases();
   }
 
@@ -135,14 +137,17 @@
     return this.#shard.number;
   }
 
+  /** The shard's machines by their ids. */
   get machines(): ReadonlyMap<string, Machine> {
     return this.#shard.machines;
   }
 
+  /** The dispatch tables of the shard's jobs by the jobs' ids. */
   get tables(): Shard['tables'] {
     return this.#shard.tables;
   }
 
+  /** Whether this owner has ended. */
   get stopped(): boolean {
     return this.#shard.stopped;
   }
@@ -162,7 +167,7 @@
     return this.machines.has(machine) || this.#autoscaler.isUnrecorded(machine);
   }
 
-  /** How many machines report and wait for a record that they are up. */
+  /** How many machines send heartbeats and wait for a record that they are up. */
   get pendingRegistrations(): number {
     return this.#registration.size;
   }
