--- a/src/bookkeeping/dependency-records.ts
+++ b/src/bookkeeping/dependency-records.ts
@@ -3,7 +3,7 @@
 import type { Job } from '../protocol/model';
 import type { Condition, KeyValueStore } from '../protocol/key-value-store';
 import { NoResponseError } from '../transport/http-client';
-import { KEY, read, type DependencyPartRecord, type JobRecord } from './records';
+import { KEY, PREFIX, read, type DependencyPartRecord, type JobRecord } from './records';
 import type { WatchCache } from './watch-cache';
 
 /** Left free of a value's limit, and of a transaction's, for what stands beside the list itself. */
@@ -35,6 +35,11 @@
   return parts;
 }
 
+/** The job that a part of a list of dependencies belongs to. */
+export function jobOfDependencyPartKey(key: string): string {
+  return key.slice(PREFIX.dependencyPart.length, key.lastIndexOf('/'));
+}
+
 /** The dependencies of a recorded job; undefined while parts of the list are missing from this node's copy. */
 export function recordedDependencies(record: JobRecord, cache: WatchCache): readonly string[] | undefined {
   const { id, dependencies } = record.job;
--- a/src/bookkeeping/dependency-tracker.ts
+++ b/src/bookkeeping/dependency-tracker.ts
@@ -2,7 +2,7 @@
 import { WakeSignal, type Clock } from '../base/clock';
 import type { ChangeEvent } from '../protocol/key-value-store';
 import { NoResponseError } from '../transport/http-client';
-import { recordedDependencies } from './dependency-records';
+import { jobOfDependencyPartKey, recordedDependencies } from './dependency-records';
 import type { FinalStates } from './final-states';
 import { JobGraph } from './job-graph';
 import { KEY, PREFIX, read } from './records';
@@ -108,7 +108,7 @@
   }
 
   #addIncomplete(partKey: string): void {
-    const id = partKey.slice(PREFIX.dependencyPart.length, partKey.lastIndexOf('/'));
+    const id = jobOfDependencyPartKey(partKey);
     if (this.#incomplete.has(id)) this.#add(id, this.cache.get(KEY.job(id))?.value);
   }
 
--- a/src/coordination/ownership/fencing-token-raiser.ts
+++ b/src/coordination/ownership/fencing-token-raiser.ts
@@ -1,14 +1,19 @@
+/** @file Raises a shard's fencing token while a start without a response is in doubt. */
 import { KEY, read } from '../../bookkeeping/records';
-import type { Shard } from '../shard/shard';
 import type { ControllerContext } from '../controller-context';
 import { fencingTokenOf } from '../shard/machine';
+import type { Shard } from '../shard/shard';
 
-const LOOK_MS = 250;
-/** Between two raises of the token: when an unanswered start is in doubt, and for mere forgetting. */
+const CHECK_INTERVAL_MS = 250;
+/** Least time between two raises of the token while a start without a response is in doubt. */
 const RAISE_IN_DOUBT_MS = 1_000;
+/** The same where a raise only serves to forget attempts that have exited. */
 const RAISE_TO_FORGET_MS = 8_000;
 
-/** Raises the shard's token: every worker then refuses what was sent under the lower ones and never answered. */
+/**
+ * Raises the shard's fencing token: every worker then refuses the commands that were sent under lower tokens and never
+ * got a response.
+ */
 export class FencingTokenRaiser {
   #raisedAt: number;
 
@@ -19,49 +24,47 @@
     this.#raisedAt = context.clock.now();
   }
 
-  /** One step; to be run in a loop of its own, so that no round waits for the state service. */
+  /** One step; to be run in a loop of its own, so that no scheduling round waits for the key-value store. */
   async step(signal: AbortSignal): Promise<void> {
-    await this.context.clock.sleep(LOOK_MS, signal);
+    await this.context.clock.sleep(CHECK_INTERVAL_MS, signal);
     const now = this.context.clock.now();
     if (signal.aborted || !this.shard.entitled || !this.#isNeeded(now - this.#raisedAt)) return;
-    const { cache, store, session } = this.context;
+    const { cache, store, session, controllerId, log } = this.context;
     const { shard } = this;
     const next = (read.fencingToken(cache.get(KEY.fencingToken)?.value)?.next ?? 0) + 1;
     if (session.lease === undefined || next <= shard.fencingToken) return;
+    const lease = { owner: controllerId, token: next };
     const result = await store.compareAndSwap(
       [shard.leaseCondition(), { key: KEY.fencingToken, version: cache.version(KEY.fencingToken) }],
       [
         { put: KEY.fencingToken, value: { next } },
-        {
-          put: KEY.lease(shard.number),
-          value: { owner: this.context.controllerId, token: next },
-          lease: session.lease,
-        },
+        { put: KEY.lease(shard.number), value: lease, lease: session.lease },
       ],
     );
-    if (result.ok && next > shard.fencingToken) {
-      shard.fencingToken = next;
-      shard.leaseVersion = result.revision;
-      this.#raisedAt = now;
-      this.context.log.debug({ shard: shard.number, fencingToken: next }, 'fencing token raised');
-    }
+    if (!result.ok || next <= shard.fencingToken) return;
+    shard.fencingToken = next;
+    shard.leaseVersion = result.revision;
+    this.#raisedAt = now;
+    log.debug({ shard: shard.number, fencingToken: next }, 'fencing token raised');
   }
 
-  #isNeeded(sinceMs: number): boolean {
-    if (sinceMs < RAISE_IN_DOUBT_MS) return false;
+  #isNeeded(sinceRaiseMs: number): boolean {
+    if (sinceRaiseMs < RAISE_IN_DOUBT_MS) return false;
     // Nearly always there is nothing to find: walking over all attempts of a thousand machines four times a second took a
     // twentieth of the owner's time (docs/PERFORMANCE.md).
-    if (!this.shard.hasUnconfirmedStarts && sinceMs < RAISE_TO_FORGET_MS) return false;
-    const inDoubt = this.#find(sinceMs);
-    if (!inDoubt) this.shard.hasUnconfirmedStarts = false;
-    return inDoubt;
+    if (!this.shard.hasUnconfirmedStarts && sinceRaiseMs < RAISE_TO_FORGET_MS) return false;
+    const isAnyInDoubt = this.#isAnyAttemptInDoubt(sinceRaiseMs);
+    if (!isAnyInDoubt) this.shard.hasUnconfirmedStarts = false;
+    return isAnyInDoubt;
   }
 
-  #find(sinceMs: number): boolean {
+  #isAnyAttemptInDoubt(sinceRaiseMs: number): boolean {
     for (const machine of this.shard.machines.values()) {
-      for (const a of machine.attempts.values()) {
-        if (fencingTokenOf(a.number) < this.shard.fencingToken || a.isStartInFlight || !a.wasSent) continue;
-        if (a.phase === 'starting' || (a.phase === 'exited' && sinceMs >= RAISE_TO_FORGET_MS)) return true;
+      for (const attempt of machine.attempts.values()) {
+        if (fencingTokenOf(attempt.number) < this.shard.fencingToken) continue;
+        if (attempt.isStartInFlight || !attempt.wasSent) continue;
+        if (attempt.phase === 'starting') return true;
+        if (attempt.phase === 'exited' && sinceRaiseMs >= RAISE_TO_FORGET_MS) return true;
       }
     }
     return false;
--- a/src/coordination/ownership/heartbeat-messages.ts
+++ b/src/coordination/ownership/heartbeat-messages.ts
@@ -1,5 +1,5 @@
-/** @file Splits what a node tells its peers of its jobs into messages of bounded size. */
-import type { JobProgress, PeerMessage, PeerHeartbeat } from '../../protocol/peers';
+/** @file Splits a controller's heartbeat to its peers into messages of bounded size. */
+import type { JobProgress, PeerHeartbeat, PeerMessage } from '../../protocol/peers';
 
 /** Jobs in one message, which keeps it well below the largest frame that peers accept. */
 export const JOBS_PER_MESSAGE = 2_000;
--- a/src/coordination/ownership/lease-extension.ts
+++ b/src/coordination/ownership/lease-extension.ts
@@ -1,48 +1,48 @@
-/**
- * @file Extension of a shard owner's lease by its peers during an outage of the state service.
- */
+/** @file Extension of a shard owner's lease by its peers during an outage of the key-value store. */
 import { LEASE_EXTENSION_MS } from '../../base/settings';
-import { shardCount } from '../../bookkeeping/shard-count';
 import { KEY, PREFIX, read } from '../../bookkeeping/records';
 import { DRIFT } from '../../bookkeeping/session';
+import { shardCount } from '../../bookkeeping/shard-count';
 import type { LeaseExtensionGrant, LeaseExtensionRequest, PeerMessage } from '../../protocol/peers';
 import type { ControllerContext } from '../controller-context';
 
-/** Safety margin: the requester stops using a grant this long before it ends. */
-const UNUSED_MS = 400;
+/** The requester stops using a grant this long before it ends. */
+const SAFETY_MARGIN_MS = 400;
 const REQUEST_INTERVAL_MS = 400;
-/** How many requests back a late grant is still accepted for. */
+/** A late grant is accepted for this many of the latest requests. */
 const REMEMBERED_REQUESTS = 10;
 
 /**
- * Extends the right of a shard owner to act while nobody can reach the state service.
+ * Extends the right of a shard owner to act while no controller can reach the key-value store.
  *
  * An owner that can't renew its lease can't tell an outage for all from a refusal of itself alone, so without help it
- * has to stop when its lease ends by its own clock, although in an outage no other node could acquire its shards. It
- * therefore sends a request to all peers. A peer that can't reach the state service either grants it: the peer then
- * acquires no shard for `PROMISE_MS`. The owner goes on only with grants of all other nodes; one peer that doesn't
- * answer, or that can reach the state service, is enough to stop it.
+ * has to stop when its lease ends by its own clock, although in an outage no other controller could acquire its shards.
+ * It therefore sends a request to all peers. A peer that can't reach the key-value store either grants it: the peer then
+ * acquires no shard for `LEASE_EXTENSION_MS`. The owner goes on only with grants of all peers; one peer that doesn't
+ * respond, or that can reach the key-value store, is enough to stop it.
  */
 export class LeaseExtension {
+  /** When the latest requests were sent, by their numbers. */
   readonly #requestedAt = new Map<number, number>();
   /** For each peer, when the latest request that it granted was sent. */
   readonly #grantedRequestAt = new Map<string, number>();
   #requestNumber = 0;
+  /** Steady time up to which grants of this controller forbid it to acquire a shard. */
   #boundUntil: number;
 
   constructor(
     private readonly context: ControllerContext,
     private readonly broadcast: (message: PeerMessage) => void,
-    /** Whether this node is acquiring a shard at this moment. */
+    /** Whether this controller is acquiring a shard at this moment. */
     private readonly isAcquiring: () => boolean,
     /** Steady time at which this process began. */
     startedAt: number,
   ) {
-    // A restarted node may have granted a request before it died, and no longer knows of it.
+    // The previous process of this controller may have granted a request, of which this one knows nothing.
     this.#boundUntil = startedAt + LEASE_EXTENSION_MS * (1 + DRIFT);
   }
 
-  /** Whether no grant given by this node forbids it to acquire a shard. */
+  /** Whether no grant given by this controller forbids it to acquire a shard. */
   get mayAcquireShards(): boolean {
     return this.context.clock.now() > this.#boundUntil;
   }
@@ -61,13 +61,13 @@
     });
   }
 
-  /** Grants a peer's request, or ignores it when this node can reach the state service or has the peer's shard. */
+  /** Grants a peer's request, or ignores it when this controller can reach the key-value store or sees another owner. */
   onRequest(request: LeaseExtensionRequest): void {
     const { clock, store, cache, controllerId } = this.context;
-    if (!store.isUnavailable || this.isAcquiring() || this.#lostShard(request.from)) return;
-    const ended = cache.deletedSince(PREFIX.job, request.revision);
+    if (!store.isUnavailable || this.isAcquiring() || this.#hasLostShard(request.from)) return;
     // The grant has to name the cancellations that the requester may have missed: it would not learn of them while it
-    // acts by grants. If this node no longer remembers all of them, it must not grant.
+    // acts by grants. If this controller no longer remembers all of them, it must not grant.
+    const ended = cache.deletedSince(PREFIX.job, request.revision);
     if (!ended) return;
     this.#boundUntil = Math.max(this.#boundUntil, clock.now() + LEASE_EXTENSION_MS * (1 + DRIFT));
     const grant: LeaseExtensionGrant = {
@@ -79,32 +79,37 @@
     this.broadcast({ kind: 'lease extension grant', grant });
   }
 
-  /** Takes in a peer's grant, and extends the session once all peers have granted. */
+  /** Records a peer's grant, and extends the session once all peers have granted. */
   onGrant(grant: LeaseExtensionGrant): void {
-    const { clock, session, cache, controllerId, settings, log } = this.context;
+    const { clock, session, cache, controllerId, log } = this.context;
     const requestedAt = this.#requestedAt.get(grant.number);
     if (grant.to !== controllerId || requestedAt === undefined) return;
     for (const { id, version } of grant.endedJobs) cache.offer({ key: KEY.job(id), version, deleted: true });
     const previous = this.#grantedRequestAt.get(grant.from) ?? 0;
     this.#grantedRequestAt.set(grant.from, Math.max(previous, requestedAt));
-    // Counted from when the request was sent, which is before any peer can have granted it.
-    const oldest = Math.min(
-      ...settings.platform.others.map((other) => this.#grantedRequestAt.get(other.node) ?? -Infinity),
-    );
-    const until = oldest + LEASE_EXTENSION_MS * (1 - DRIFT) - UNUSED_MS;
+    const until = this.#grantedUntil();
     if (until <= clock.now()) return;
-    if (until - session.validUntil > LEASE_EXTENSION_MS / 2)
+    if (until - session.validUntil > LEASE_EXTENSION_MS / 2) {
       log.info({ until }, 'all peers extended the lease');
+    }
     session.extendUntil(until);
   }
 
-  /** Whether a shard assigned to the node is leased by another, which the node may be unable to see. */
-  #lostShard(node: string): boolean {
+  /** Steady time up to which the grants of all peers hold; -Infinity while one of them has granted nothing. */
+  #grantedUntil(): number {
+    const { others } = this.context.settings.platform;
+    // Counted from when the request was sent, which is before any peer can have granted it.
+    const oldest = Math.min(...others.map(({ node }) => this.#grantedRequestAt.get(node) ?? -Infinity));
+    return oldest + LEASE_EXTENSION_MS * (1 - DRIFT) - SAFETY_MARGIN_MS;
+  }
+
+  /** Whether a shard assigned to the controller is leased by another, which the controller may be unable to see. */
+  #hasLostShard(controller: string): boolean {
     const { cache, settings } = this.context;
     for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
       const lease = read.lease(cache.get(KEY.lease(shard))?.value);
       const assigned = read.shard(cache.get(KEY.shard(shard))?.value);
-      if (assigned?.owner === node && lease?.owner !== node) return true;
+      if (assigned?.owner === controller && lease?.owner !== controller) return true;
     }
     return false;
   }
--- a/src/coordination/ownership/owner-candidates.ts
+++ b/src/coordination/ownership/owner-candidates.ts
@@ -1,10 +1,10 @@
-/** @file The controllers that could own a shard, as the records have them. */
-import { shardCount } from '../../bookkeeping/shard-count';
+/** @file The controllers that could own a shard, as the records show them. */
 import { KEY, PREFIX, read } from '../../bookkeeping/records';
+import { shardCount } from '../../bookkeeping/shard-count';
 import type { Contender } from '../../suspicion/suspicion';
 import type { ControllerContext } from '../controller-context';
 
-/** The controllers that hold a session, the one that has held its own for longest first. */
+/** The controllers that hold a session, in the order in which they opened it. */
 export function liveControllers({ cache }: ControllerContext): string[] {
   return [...cache.under(PREFIX.controller)]
     .sort((a, b) => a.version - b.version)
@@ -14,22 +14,26 @@
 /** How many shards are assigned to each live controller. */
 export function shardsByController(context: ControllerContext): Map<string, number> {
   const { cache, settings } = context;
-  const counts = new Map(liveControllers(context).map((node) => [node, 0]));
+  const shardCounts = new Map(liveControllers(context).map((controller) => [controller, 0]));
   for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
     const owner = read.shard(cache.get(KEY.shard(shard))?.value)?.owner;
-    const count = owner === undefined ? undefined : counts.get(owner);
-    if (owner !== undefined && count !== undefined) counts.set(owner, count + 1);
+    const count = owner === undefined ? undefined : shardCounts.get(owner);
+    if (owner !== undefined && count !== undefined) shardCounts.set(owner, count + 1);
   }
-  return counts;
+  return shardCounts;
 }
 
-/** The live controllers with what the choice of an owner goes by. */
+/** The live controllers with the facts that the choice of an owner depends on. */
 export function ownerCandidates(
   context: ControllerContext,
-  shards: ReadonlyMap<string, number>,
+  shardCounts: ReadonlyMap<string, number>,
 ): Contender[] {
   const missing = context.formatGate.missing();
-  return [...shards].map(([node, count]) => ({ node, shards: count, isUpgraded: !missing.includes(node) }));
+  return [...shardCounts].map(([controller, count]) => ({
+    node: controller,
+    shards: count,
+    isUpgraded: !missing.includes(controller),
+  }));
 }
 
 /**
@@ -40,9 +44,9 @@
 export function rankOwners(
   context: ControllerContext,
   shard: number,
-  shards: ReadonlyMap<string, number>,
+  shardCounts: ReadonlyMap<string, number>,
 ): string[] {
-  const candidates = ownerCandidates(context, shards);
+  const candidates = ownerCandidates(context, shardCounts);
   if (context.suspicion) return context.suspicion.rank(shard, candidates);
   return candidates
     .sort((a, b) => a.shards - b.shards || Number(b.isUpgraded) - Number(a.isUpgraded))
--- a/src/coordination/ownership/shard-acquisition.ts
+++ b/src/coordination/ownership/shard-acquisition.ts
@@ -1,40 +1,41 @@
-/** @file Acquires the shards that the leader assigned to this node, gives them up, and hands them over. */
-import { shardCount } from '../../bookkeeping/shard-count';
+/** @file Acquires the shards that the leader assigned to this controller, and gives up those assigned elsewhere. */
 import { KEY, read, type ShardRecord } from '../../bookkeeping/records';
-import type { Entry } from '../../protocol/key-value-store';
+import { shardCount } from '../../bookkeeping/shard-count';
+import type { Change, Condition, Entry } from '../../protocol/key-value-store';
 import { HandoverTrace } from '../../suspicion/handover-trace';
 import type { PeerReachability } from '../../suspicion/peer-reachability';
-import { ShardOwner } from '../shard/shard-owner';
 import type { ControllerContext } from '../controller-context';
-import { shardsByController, ownerCandidates } from './owner-candidates';
+import { ShardOwner } from '../shard/shard-owner';
 import type { LeaseExtension } from './lease-extension';
+import { ShardHandover } from './shard-handover';
 
 const VIEW_POLL_MS = 5;
-const DRAIN_POLL_MS = 20;
-/** How long commands that are on their way may hold up an orderly handover. */
-const DRAIN_MS = 500;
 
 /**
- * What became of the look at a shard. Lost: this node's session ended, or the lease went again before the view showed
- * it, so no other shard is tried in the same step.
+ * The outcome for one shard. Lost: this controller's session ended, or the lease went again before this controller's copy
+ * of the records showed it, so no other shard is tried in the same step.
  */
 type AcquisitionOutcome = 'acquired' | 'refused' | 'lost';
 
 /**
- * The shards that this node owns. A shard is owned from the transaction that acquires its lease until this node stops
- * acting for it; the lease is deleted only after that, so two nodes never act for a shard at one moment.
+ * The shards that this controller owns. A shard is owned from the transaction that acquires its lease until this
+ * controller stops acting for it; the lease is deleted only after that, so two controllers never act for a shard at the
+ * same time.
  */
 export class ShardAcquisition {
   readonly #owners = new Map<number, ShardOwner>();
-  /** Handovers to this node that are under way, by shard; none with suspicion off. */
+  /** Handovers to this controller that are under way, by shard; none with suspicion off. */
   readonly #handovers = new Map<number, HandoverTrace>();
+  readonly #shardHandover: ShardHandover;
   #isAcquiring = false;
 
   constructor(
     private readonly context: ControllerContext,
-    private readonly reachability: PeerReachability,
+    reachability: PeerReachability,
     private readonly leaseExtension: LeaseExtension,
-  ) {}
+  ) {
+    this.#shardHandover = new ShardHandover(context, reachability);
+  }
 
   /** The owned shards by their numbers. One that was just stopped may still be among them. */
   get owners(): ReadonlyMap<number, ShardOwner> {
@@ -46,7 +47,7 @@
     return this.#isAcquiring;
   }
 
-  /** One step: gives up what is no longer this node's, hands over, and acquires. To be run in a loop. */
+  /** One step: gives up what is assigned elsewhere, hands over, and acquires. To be run in a loop. */
   async step(): Promise<void> {
     this.#isAcquiring = true;
     try {
@@ -57,82 +58,23 @@
     }
   }
 
-  /** Gives an owned shard up when it is no longer this node's, or when another node reaches its workers. */
+  /** Gives an owned shard up when it is assigned elsewhere, or when another controller serves it better. */
   async #review(owner: ShardOwner): Promise<void> {
     const { controllerId, cache, session, store } = this.context;
     const { shard } = owner;
     const lease = read.lease(cache.get(KEY.lease(shard))?.value);
-    if (session.lease === undefined || lease?.owner !== controllerId) owner.stop('lease not held here');
-    else if (read.shard(cache.get(KEY.shard(shard))?.value)?.owner !== controllerId) {
+    if (session.lease === undefined || lease?.owner !== controllerId) {
+      owner.stop('lease not held here');
+    } else if (this.#record(shard)?.owner !== controllerId) {
       owner.stop('assigned to another controller');
-      // Once the lease is gone the other may take it: nothing leaves here any more.
+      // Only after the stop: once the lease is gone the other controller may acquire the shard.
       await store.compareAndSwap([owner.leaseCondition()], [{ delete: KEY.lease(shard) }], true);
     }
-    if (!owner.stopped) await this.#handOverUnreachable(owner);
-    if (!owner.stopped) await this.#handOverPlanned(owner);
+    if (!owner.stopped) await this.#shardHandover.handOverIfUnreachable(owner);
+    if (!owner.stopped) await this.#shardHandover.handOverIfPlanned(owner);
     if (owner.stopped) this.#owners.delete(shard);
   }
 
-  /** A node that is cut from most workers of its shard gives it to one that they come to instead. */
-  async #handOverUnreachable(owner: ShardOwner): Promise<void> {
-    const { machines, unheard } = owner.workerReachability();
-    const successor = this.reachability.successor(owner.shard, machines, unheard);
-    if (successor === undefined || this.#record(owner.shard) === undefined) return;
-    const { shard } = owner;
-    this.context.log.info(
-      { shard, successor, machines, unheard },
-      'handing shard over: its workers reach another controller only',
-    );
-    owner.stop('its workers reach another controller only');
-    await this.#nameSuccessor(owner, successor);
-  }
-
-  /**
-   * A node that is slow itself, or that most peers don't hear, gives its shards up in order: it stops, lets the commands
-   * that are on their way be answered, and names the successor in the transaction that deletes the lease. That takes well
-   * under the lease, whose end the others would have to wait for.
-   */
-  async #handOverPlanned(owner: ShardOwner): Promise<void> {
-    const { suspicion, log } = this.context;
-    const { shard } = owner;
-    const candidates = suspicion ? ownerCandidates(this.context, shardsByController(this.context)) : [];
-    const planned = suspicion?.plannedHandover(shard, candidates);
-    if (!planned || this.#record(shard)?.owner !== this.context.controllerId) return;
-    const { successor, reason } = planned;
-    log.info({ shard, successor, reason }, 'planned shard handover');
-    const handover = new HandoverTrace(shard, this.context);
-    owner.stop(reason);
-    handover.reached('stopped', { reason });
-    await this.#drain(owner);
-    handover.reached('drained', { unanswered: owner.commandsInFlight });
-    await this.#nameSuccessor(owner, successor);
-    handover.reached('successor named', { successor });
-  }
-
-  /** Waits for the answers to commands that have left. What is still unanswered then is the successor's to settle. */
-  async #drain(owner: ShardOwner): Promise<void> {
-    const { clock, session } = this.context;
-    const until = clock.now() + DRAIN_MS;
-    while (owner.commandsInFlight > 0 && clock.now() < until && session.valid) {
-      await clock.sleep(DRAIN_POLL_MS);
-    }
-  }
-
-  /** One transaction names the successor and deletes the lease; the owner has stopped before. */
-  async #nameSuccessor(owner: ShardOwner, successor: string): Promise<void> {
-    const { store, cache } = this.context;
-    const key = KEY.shard(owner.shard);
-    const record = this.#record(owner.shard);
-    if (!record) return;
-    const deletion = { delete: KEY.lease(owner.shard) };
-    // The leader may have given it to another meanwhile: its word stands.
-    const isAssignedHere = record.owner === this.context.controllerId;
-    const changes = isAssignedHere
-      ? [{ put: key, value: { ...record, owner: successor } }, deletion]
-      : [deletion];
-    await store.compareAndSwap([owner.leaseCondition(), { key, version: cache.version(key) }], changes, true);
-  }
-
   async #acquireAssigned(): Promise<void> {
     const { cache, settings, types } = this.context;
     if (!cache.loaded || types().length === 0) return;
@@ -146,9 +88,10 @@
   async #acquireIfAssigned(shard: number): Promise<AcquisitionOutcome> {
     const { cache, session, controllerId } = this.context;
     if (!session.valid || session.lease === undefined) return 'lost';
-    const held = cache.get(KEY.lease(shard));
-    if (held) {
-      if (read.lease(held.value)?.owner === controllerId) await this.#deleteLeaseWithoutTables(held);
+    const leaseEntry = cache.get(KEY.lease(shard));
+    if (leaseEntry) {
+      const isOwnLease = read.lease(leaseEntry.value)?.owner === controllerId;
+      if (isOwnLease) await this.#deleteLeaseWithoutOwner(leaseEntry);
       return 'refused';
     }
     const record = this.#record(shard);
@@ -158,15 +101,16 @@
   }
 
   /**
-   * An acquisition of ours that got no answer was carried out after all, or we stopped while a raise of ours that got
-   * none hid the lease's version. No tables are behind it: start over. Whoever the shard is given to now would wait for
-   * it as long as our session lives.
+   * An acquisition of this controller that got no response was carried out after all, or the controller stopped while a
+   * raise of the fencing token that got no response hid the lease's version. No `ShardOwner` acts by that lease, so it is
+   * deleted and acquired anew; otherwise any controller that the shard is assigned to would wait for as long as this
+   * controller's session lives.
    */
-  async #deleteLeaseWithoutTables({ key, version }: Entry): Promise<void> {
+  async #deleteLeaseWithoutOwner({ key, version }: Entry): Promise<void> {
     await this.context.store.compareAndSwap([{ key, version }], [{ delete: key }], true);
   }
 
-  /** A handover begins when this node is seen to be chosen, and is broken off when another is. */
+  /** A handover begins when this controller is seen to be chosen, and is broken off when another is. */
   #followAssignment(shard: number, isAssigned: boolean): void {
     if (!this.context.suspicion) return;
     if (!isAssigned) {
@@ -179,62 +123,69 @@
     }
   }
 
-  /** Acquires the lease and draws a token in one transaction. */
+  /** Acquires the lease and draws a fencing token in one transaction. */
   async #acquire(shard: number, record: ShardRecord, sessionLease: number): Promise<AcquisitionOutcome> {
     const { controllerId, cache, session, store, clock, log } = this.context;
-    const token = (read.fencingToken(cache.get(KEY.fencingToken)?.value)?.next ?? 0) + 1;
-    const result = await store.compareAndSwap(
-      [
-        { key: KEY.lease(shard), version: 0 },
-        { key: KEY.shard(shard), version: cache.version(KEY.shard(shard)) },
-        { key: KEY.fencingToken, version: cache.version(KEY.fencingToken) },
-      ],
-      [
-        { put: KEY.fencingToken, value: { next: token } },
-        { put: KEY.lease(shard), value: { owner: controllerId, token }, lease: sessionLease },
-        { put: KEY.shard(shard), value: { ...record, holder: controllerId } },
-      ],
-      true,
-    );
+    const fencingToken = (read.fencingToken(cache.get(KEY.fencingToken)?.value)?.next ?? 0) + 1;
+    const changes: Change[] = [
+      { put: KEY.fencingToken, value: { next: fencingToken } },
+      { put: KEY.lease(shard), value: { owner: controllerId, token: fencingToken }, lease: sessionLease },
+      { put: KEY.shard(shard), value: { ...record, holder: controllerId } },
+    ];
+    const result = await store.compareAndSwap(this.#acquisitionConditions(shard), changes, true);
     if (!result.ok) return 'refused';
-    // The tables are built from a view that holds everything the owner before us could have acted on.
-    while (cache.revision < result.revision && session.valid) await clock.sleep(VIEW_POLL_MS);
+    const { revision } = result;
+    // The owner starts from a copy of the records that holds everything the previous owner could have acted on.
+    while (cache.revision < revision && session.valid) await clock.sleep(VIEW_POLL_MS);
     if (!session.valid || read.lease(cache.get(KEY.lease(shard))?.value)?.owner !== controllerId) {
       log.warn({ shard }, 'shard lease lost during acquisition');
       return 'lost';
     }
+    this.#startOwner(shard, record, { fencingToken, revision });
+    return 'acquired';
+  }
+
+  #acquisitionConditions(shard: number): Condition[] {
+    const { cache } = this.context;
+    return [
+      { key: KEY.lease(shard), version: 0 },
+      { key: KEY.shard(shard), version: cache.version(KEY.shard(shard)) },
+      { key: KEY.fencingToken, version: cache.version(KEY.fencingToken) },
+    ];
+  }
+
+  #startOwner(
+    shard: number,
+    { teams }: ShardRecord,
+    { fencingToken, revision }: { fencingToken: number; revision: number },
+  ): void {
     const owner = new ShardOwner(
       {
         number: shard,
-        teams: record.teams,
-        fencingToken: token,
-        leaseVersion: result.revision,
-        acquiredRevision: result.revision,
+        teams,
+        fencingToken,
+        leaseVersion: revision,
+        acquiredRevision: revision,
       },
       this.context,
     );
-    this.#startOwner(owner, token);
-    return 'acquired';
-  }
-
-  #startOwner(owner: ShardOwner, token: number): void {
-    const { shard } = owner;
     this.#owners.set(shard, owner);
     const handover = this.#handovers.get(shard);
     this.#handovers.delete(shard);
     handover?.reached('acquired');
-    handover?.reached('token drawn', { token });
+    handover?.reached('token drawn', { token: fencingToken });
     owner.start(handover);
   }
 
   /**
-   * Before its end this process may have promised another to take nothing from it. Not if this node itself held the
-   * shard last, or nobody ever did: then there is nobody to be promised anything, and workers' leases are running out.
+   * A previous process of this controller may have granted a lease extension, and so must not acquire a shard. Not if
+   * this controller itself held the shard last, or no controller ever held one: then no grant can concern it, and the
+   * leases of the workers are running out.
    */
   #mayAcquire({ holder }: ShardRecord): boolean {
     const { cache, controllerId } = this.context;
-    const neverHeld = cache.get(KEY.fencingToken) === undefined;
-    return this.leaseExtension.mayAcquireShards || neverHeld || holder === controllerId;
+    const wasNeverHeld = cache.get(KEY.fencingToken) === undefined;
+    return this.leaseExtension.mayAcquireShards || wasNeverHeld || holder === controllerId;
   }
 
   #record(shard: number): ShardRecord | undefined {
--- a/test/fakes/scripted-watch.ts
+++ b/test/fakes/scripted-watch.ts
@@ -13,7 +13,7 @@
   constructor() {
     const store = {
       list: () => Promise.resolve({ entries: [], more: false, revision: this.revision }),
-      watch: () => Promise.resolve({ revision: this.revision, events: this.events }),
+      changes: () => Promise.resolve({ revision: this.revision, events: this.events }),
     };
     this.cache = new WatchCache(store as unknown as KeyValueStore, 'live/', this.#clock, 1000, 0);
   }
--- a/test/record-sweep.test.ts
+++ b/test/record-sweep.test.ts
@@ -1,8 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { makeSettings } from '../src/base/settings';
 import { RecordGarbageCollector } from '../src/coordination/ownership/record-garbage-collector';
 import { submission } from './fakes/submission';
-import { Service } from './limited-service';
+import { Service, platform } from './limited-service';
 import { World } from './fakes/world';
 
 const MANY = 1_500;
@@ -15,7 +16,12 @@
   const written = service.store.compareAndSwap([], [{ put: 'live/dependencies/req-1/0', value }]);
   await service.clock.advance(2_000);
   await written;
-  const sweep = new RecordGarbageCollector(service.cache, service.clock);
+  const sweep = new RecordGarbageCollector({
+    cache: service.cache,
+    clock: service.clock,
+    store: service.store,
+    settings: makeSettings(platform(), {}),
+  });
   assert.deepEqual(sweep.orphans(), []);
   await service.clock.advance(119_000);
   assert.deepEqual(sweep.orphans(), []);
