--- a/src/admission/admission-control.ts
+++ b/src/admission/admission-control.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../base/clock';
 import type { Log } from '../base/log';
 import {
-  SubmissionDeferred,
+  SubmissionDeferredError,
   type AdmissionPolicy,
   type AdmissionTerms,
 } from '../bookkeeping/admission-policy';
@@ -63,7 +63,7 @@
     const admitted = readAdmitted(this.context.cache.get(key)?.value, epoch.overload);
     const decision = decide(epoch, admitted, job);
     traceDecision(job, epoch, decision);
-    if (decision.kind === 'defer') throw new SubmissionDeferred(job.id, decision.retryAfterS);
+    if (decision.kind === 'defer') throw new SubmissionDeferredError(job.id, decision.retryAfterS);
     if (decision.kind === 'open') return { conditions, changes: [] };
     conditions.push(this.#condition(key));
     const { jobClass, team } = flow;
--- a/src/bookkeeping/admission-policy.ts
+++ b/src/bookkeeping/admission-policy.ts
@@ -1,10 +1,10 @@
-/** @file What the job store asks before it accepts a job. */
+/** @file The policy that decides which jobs may be accepted at present. */
 import type { Job } from '../protocol/model';
 import type { Change, Condition } from '../protocol/key-value-store';
 
 /** A submission that is not accepted now, and when to submit it again. */
-export class SubmissionDeferred extends Error {
-  override name = 'SubmissionDeferred';
+export class SubmissionDeferredError extends Error {
+  override name = 'SubmissionDeferredError';
   constructor(
     readonly job: string,
     readonly retryAfterS: number,
@@ -13,7 +13,7 @@
   }
 }
 
-/** What the transaction that accepts a job has to prove and to write besides the job itself. */
+/** The conditions and changes that the transaction that accepts a job has to hold besides the job itself. */
 export interface AdmissionTerms {
   readonly conditions: readonly Condition[];
   readonly changes: readonly Change[];
@@ -21,13 +21,13 @@
 
 /** Decides which jobs may be accepted at present. */
 export interface AdmissionPolicy {
-  /** The terms of a job's acceptance. Throws `SubmissionDeferred` where it has to wait. */
+  /** The terms of a job's acceptance. Throws `SubmissionDeferredError` where it has to wait. */
   termsFor(job: Job): Promise<AdmissionTerms>;
-  /** Whether the state service may be asked whether a job that is deferred was accepted before. */
+  /** Whether a request may be spent on reading if a job that is deferred was accepted before. */
   allowsLookUp(): Promise<boolean>;
-  /** Reads again what the failed conditions of an acceptance show to be out of date. True: the terms may have changed. */
+  /** Reads the records again that failed conditions of an acceptance show to be stale. True: the terms may have changed. */
   refresh(terms: AdmissionTerms, failedKeys: readonly string[]): Promise<boolean>;
-  /** The job was accepted on these terms, by the transaction with this revision. */
+  /** To be called when a job was accepted on these terms, by the transaction with this revision. */
   accepted(terms: AdmissionTerms, revision: number): void;
 }
 
--- a/src/bookkeeping/bitmap.ts
+++ b/src/bookkeeping/bitmap.ts
@@ -1,4 +1,6 @@
-/** Which tasks of a job are done, as it lies in the state service: one bit a task, in records for ranges of tasks. */
+/** @file A bitmap of a job's completed tasks. */
+
+/** Which tasks of a job are done: one bit for each task, as the completion records store it for ranges of tasks. */
 export class Bitmap {
   readonly #bits: Uint8Array;
   #count = 0;
@@ -7,15 +9,17 @@
     this.#bits = new Uint8Array(Math.ceil(size / 8));
   }
 
+  /** How many bits are set. */
   get count(): number {
     return this.#count;
   }
 
+  /** Whether the bit is set. */
   has(index: number): boolean {
     return ((this.#bits[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
   }
 
-  /** True when the bit was not set before. */
+  /** Sets a bit. True: it was not set before. */
   set(index: number): boolean {
     if (index < 0 || index >= this.size || this.has(index)) return false;
     this.#bits[index >> 3] = (this.#bits[index >> 3] ?? 0) | (1 << (index & 7));
@@ -23,7 +27,10 @@
     return true;
   }
 
-  /** The bits from `first`, a multiple of 8, up to `end`, with those of `more` set too; it does not change itself. */
+  /**
+   * The bits from `first`, a multiple of 8, up to `end`, not included, as base64 text. Those of `more` are set in the
+   * text too, but not in this bitmap.
+   */
   encode(first: number, end: number, more: readonly number[] = []): string {
     const bytes = Buffer.from(this.#bits.subarray(first / 8, Math.ceil(end / 8)));
     for (const index of more) {
@@ -33,7 +40,7 @@
     return bytes.toString('base64');
   }
 
-  /** Adds bits that begin at `first`, however many they are; returns the tasks that are new. */
+  /** Sets the bits of an encoded text whose first bit is `first`; returns the tasks whose bits were not set before. */
   merge(first: number, text: string): number[] {
     const bytes = Buffer.from(text, 'base64');
     const added: number[] = [];
--- a/src/bookkeeping/completion-records.ts
+++ b/src/bookkeeping/completion-records.ts
@@ -1,22 +1,20 @@
-/** @file The records that hold a job's completions, in both layouts. */
-import { KEY, PREFIX, read } from './records';
-
 /**
- * Which records the completions of a job are written to. There are two layouts:
+ * @file The records that hold a job's completions. There are two layouts:
  *
- * - chunks, `live/done/JOB/CHUNK`, of 65,536 tasks each: the only one that format 1 knows;
+ * - chunks, `live/done/JOB/CHUNK`, of 65,536 tasks each: the only one that format 1 has;
  * - parts, `live/bits/JOB/FIRST-END`, as long as the limit on values allows, for jobs whose chunks don't fit it.
  *
- * Records of both layouts, and parts of different lengths, may lie side by side for one job: a task is done when any of
+ * Records of both layouts, and parts of different lengths, may exist side by side for one job: a task is done when any of
  * them says so. Since a part's range is in its key, a part never replaces one of another length.
  */
+import { KEY, PREFIX, read } from './records';
 
 /** Tasks of a chunk. Part of the stored format. */
 export const CHUNK_TASKS = 65_536;
-/** Room in a value for the text around the bits. */
+/** Bytes of a value for the text around the bits. */
 const OVERHEAD_BYTES = 64;
 
-/** Which records the completions of a job go to. */
+/** Which records the completions of a job are written to. */
 export type CompletionLayout = { kind: 'chunks' } | { kind: 'parts'; partTasks: number };
 
 /** A job, as far as its completion records depend on it. */
@@ -32,13 +30,13 @@
   end: number;
 }
 
-/** A record and those tasks, completed and not recorded yet, that belong into it. */
+/** A record, and the completed tasks that are to be recorded in it. */
 export interface RecordGroup {
   record: CompletionRecord;
   tasks: number[];
 }
 
-/** What was read from a completion record. */
+/** The contents of a completion record. */
 export interface StoredCompletions {
   job: string;
   first: number;
@@ -51,7 +49,7 @@
   return Math.floor(textBytes / 4) * 3 * 8;
 }
 
-/** `mayUseParts`: whether every controller understands parts. */
+/** The layout for the completions of a job; `mayUseParts`: whether every controller understands parts. */
 export function completionLayout(
   job: RecordedJob,
   valueBytes: number,
@@ -109,11 +107,11 @@
   return key.split('/')[2] ?? '';
 }
 
-/** Reads a record of either layout; undefined when it is none. */
+/** Reads a completion record of either layout; undefined when it is malformed. */
 export function readCompletions(key: string, value: unknown): StoredCompletions | undefined {
   const bits = read.done(value)?.bits;
-  const position = /^live\/(done|bits)\/([^/]+)\/(\d+)(-\d+)?$/.exec(key);
-  const [, prefix, job, number] = position ?? [];
+  const match = /^live\/(done|bits)\/([^/]+)\/(\d+)(-\d+)?$/.exec(key);
+  const [, prefix, job, number] = match ?? [];
   if (bits === undefined || job === undefined) return undefined;
   const first = Number(number) * (prefix === 'done' ? CHUNK_TASKS : 1);
   return { job, first, bits };
--- a/src/bookkeeping/deletion-log.ts
+++ b/src/bookkeeping/deletion-log.ts
@@ -1,8 +1,8 @@
-/** @file Remembers which keys were deleted lately. */
+/** @file Remembers which keys were deleted recently. */
 
-/** From this many remembered deletions of one kind on, the oldest are forgotten. */
+/** Above this many remembered deletions of one kind, the oldest are forgotten. */
 const MAX_PER_KIND = 2_000;
-/** How many are left of them then. */
+/** How many of them are kept then. */
 const KEPT_PER_KIND = 1_000;
 
 /** A key that was deleted, and the revision of the deletion. */
@@ -19,12 +19,13 @@
 }
 
 /**
- * Deletions by kind of key. Each kind is bounded by itself: returning thousands of machines at once must not push out
- * the cancellations that a lease extension has to name, or a peer could extend no lease for as long as an outage lasts.
+ * Deletions by kind of key. Each kind has a bound of its own: the return of thousands of machines at once must not push
+ * out the cancellations that a lease extension has to name, or a peer could extend no lease for as long as an outage
+ * lasts.
  */
 export class DeletionLog {
   readonly #kinds = new Map<string, KindLog>();
-  /** For kinds that nothing was deleted of yet. */
+  /** The same for kinds of which no key was deleted yet. */
   #completeFrom = Infinity;
 
   /** The revision at which the key was deleted; 0 when that isn't remembered. */
@@ -32,11 +33,12 @@
     return this.#kinds.get(kind)?.versions.get(key) ?? 0;
   }
 
+  /** Remembers a deletion. */
   add(kind: string, key: string, version: number): void {
     this.#log(kind).versions.set(key, version);
   }
 
-  /** From now on all deletions after the revision are added here. */
+  /** Declares that from now on all deletions after the revision are added. */
   startAt(revision: number): void {
     this.#completeFrom = revision;
     for (const log of this.#kinds.values()) log.completeFrom = revision;
@@ -51,7 +53,7 @@
       .map(([key, version]) => ({ key, version }));
   }
 
-  /** Forgets the oldest deletions of each kind that has too many, but none after the revision. */
+  /** Forgets the oldest deletions of each kind that exceeds its bound, but none after the revision. */
   trim(revision: number): void {
     for (const log of this.#kinds.values()) trimKind(log, revision);
   }
--- a/src/bookkeeping/dependency-records.ts
+++ b/src/bookkeeping/dependency-records.ts
@@ -1,35 +1,38 @@
-/** @file How a job's list of dependencies is stored. */
+/** @file The records that hold a job's list of dependencies. */
 import { jsonBytes } from '../base/state-limits';
 import type { Job } from '../protocol/model';
 import type { Condition, KeyValueStore } from '../protocol/key-value-store';
 import { NoResponseError } from '../transport/http-client';
+import { unendedJobConditions } from './job-conditions';
 import { KEY, PREFIX, read, type DependencyPartRecord, type JobRecord } from './records';
 import type { WatchCache } from './watch-cache';
 
-/** Left free of a value's limit, and of a transaction's, for what stands beside the list itself. */
+/** Bytes of a value that are reserved for the text around the list itself. */
 const RESERVED_BYTES = 128;
+/** The comma between two elements of a list. */
+const SEPARATOR_BYTES = 1;
 /** The protocol's bound on a transaction's body, less a reserve for its keys. */
 const MAX_TRANSACTION_BYTES = 48 * 1024;
 
-/** The state service takes this many conditions for each change that a transaction may have. */
+/** The key-value store allows this many conditions for each change that a transaction may have. */
 const CONDITIONS_PER_CHANGE = 4;
 /** Conditions of an acceptance besides those on parts. */
 const RESERVED_CONDITIONS = 2;
 
-/** Splits a list of job ids so that each part fits a value of the state service. */
+/** Splits a list of job ids so that each part fits a value of the key-value store. */
 export function splitDependencies(dependencies: readonly string[], valueBytes: number): string[][] {
   const parts: string[][] = [];
   let part: string[] = [];
-  let bytes = 0;
+  let partBytes = 0;
   for (const dependency of dependencies) {
-    const size = jsonBytes(dependency) + 1;
-    if (part.length > 0 && bytes + size > valueBytes - RESERVED_BYTES) {
+    const bytes = jsonBytes(dependency) + SEPARATOR_BYTES;
+    if (part.length > 0 && partBytes + bytes > valueBytes - RESERVED_BYTES) {
       parts.push(part);
       part = [];
-      bytes = 0;
+      partBytes = 0;
     }
     part.push(dependency);
-    bytes += size;
+    partBytes += bytes;
   }
   if (part.length > 0) parts.push(part);
   return parts;
@@ -40,17 +43,17 @@
   return key.slice(PREFIX.dependencyPart.length, key.lastIndexOf('/'));
 }
 
-/** The dependencies of a recorded job; undefined while parts of the list are missing from this node's copy. */
+/** The dependencies of a recorded job; undefined while parts of the list are missing from this controller's copy. */
 export function recordedDependencies(record: JobRecord, cache: WatchCache): readonly string[] | undefined {
   const { id, dependencies } = record.job;
   if (record.dependencyParts === undefined) return dependencies ?? [];
-  const all: string[] = [];
+  const allDependencies: string[] = [];
   for (let part = 0; part < record.dependencyParts; part += 1) {
     const stored = read.dependencyPart(cache.get(KEY.dependencyPart(id, part))?.value);
     if (!stored) return undefined;
-    all.push(...stored.dependencies);
+    allDependencies.push(...stored.dependencies);
   }
-  return all;
+  return allDependencies;
 }
 
 /** A job's record as it is to be written, and the conditions under which its list of dependencies is complete. */
@@ -59,7 +62,7 @@
   readonly conditions: Condition[];
 }
 
-/** What the state service takes of one record and of one transaction. */
+/** The key-value store's limits on one record and on one transaction. */
 export interface RecordLimits {
   readonly valueBytes: number;
   /** Changes that a transaction may have. */
@@ -68,8 +71,8 @@
 
 /**
  * Prepares the record of a job that is to be accepted. A list of dependencies that doesn't fit the record is stored in
- * parts first. Parts are only written while the job is neither live nor over, and its acceptance is guarded on the
- * versions of all of them: an accepted job's list is complete and never changes.
+ * parts first. Parts are only written while the job is neither live nor ended, and its acceptance has the versions of all
+ * of them as conditions: an accepted job's list is complete and never changes.
  */
 export async function prepareJobRecord(
   job: Job,
@@ -92,45 +95,76 @@
   return { record: { job: rest, submittedAt, dependencyParts: parts.length }, conditions };
 }
 
-/** Writes the parts that aren't there yet, and returns the version of each. */
+/** Writes the parts that aren't stored yet, and returns the version of each. */
 async function writeParts(
   id: string,
   parts: readonly string[][],
   store: KeyValueStore,
   limits: RecordLimits,
 ): Promise<number[]> {
-  const versions: number[] = [];
-  let batch: { part: number; version: number; value: DependencyPartRecord }[] = [];
-  let bytes = 0;
-  const flush = async (): Promise<void> => {
-    if (batch.length === 0) return;
-    const conditions = batch.map(({ part, version }) => ({ key: KEY.dependencyPart(id, part), version }));
-    const unaccepted = [
-      { key: KEY.job(id), version: 0 },
-      { key: KEY.final(id), version: 0 },
-    ];
-    const changes = batch.map(({ part, value }) => ({ put: KEY.dependencyPart(id, part), value }));
-    const result = await store.compareAndSwap([...unaccepted, ...conditions], changes);
-    if (!result.ok)
-      throw new NoResponseError(`the dependencies of ${id} changed while they were written`, false);
-    for (const { part } of batch) versions[part] = result.revision;
-    batch = [];
-    bytes = 0;
-  };
+  const writer = new PartWriter(id, store, limits);
   for (const [part, dependencies] of parts.entries()) {
-    const key = KEY.dependencyPart(id, part);
     const value: DependencyPartRecord = { dependencies };
-    const stored = await store.get(key);
-    // A retry of the same submission goes on where the one before it stopped.
+    const stored = await store.get(KEY.dependencyPart(id, part));
+    // A retry of the same submission continues where the one before it stopped.
     if (stored && JSON.stringify(read.dependencyPart(stored.value)) === JSON.stringify(value)) {
-      versions[part] = stored.version;
+      writer.versions[part] = stored.version;
       continue;
     }
-    const size = jsonBytes(value);
-    if (batch.length >= limits.changes || bytes + size > MAX_TRANSACTION_BYTES) await flush();
-    batch.push({ part, version: stored?.version ?? 0, value });
-    bytes += size;
+    const bytes = jsonBytes(value);
+    if (!writer.hasRoomFor(bytes)) await writer.flush();
+    writer.add({ part, version: stored?.version ?? 0, value }, bytes);
+  }
+  await writer.flush();
+  return writer.versions;
+}
+
+/** A part that is to be written, and the version of the record that it replaces. */
+interface PartWrite {
+  readonly part: number;
+  readonly version: number;
+  readonly value: DependencyPartRecord;
+}
+
+/** Writes parts of one list of dependencies in transactions as large as the limits allow. */
+class PartWriter {
+  /** The versions of the parts that are stored, by part. */
+  readonly versions: number[] = [];
+  #batch: PartWrite[] = [];
+  #bytes = 0;
+
+  constructor(
+    private readonly id: string,
+    private readonly store: KeyValueStore,
+    private readonly limits: RecordLimits,
+  ) {}
+
+  /** Whether the next transaction can hold another value of so many bytes. */
+  hasRoomFor(bytes: number): boolean {
+    return this.#batch.length < this.limits.changes && this.#bytes + bytes <= MAX_TRANSACTION_BYTES;
+  }
+
+  add(write: PartWrite, bytes: number): void {
+    this.#batch.push(write);
+    this.#bytes += bytes;
+  }
+
+  /** Writes what was added, while the job is neither live nor ended. */
+  async flush(): Promise<void> {
+    if (this.#batch.length === 0) return;
+    const { id } = this;
+    const isNotAccepted = unendedJobConditions(id, 0);
+    const areUnchanged = this.#batch.map(({ part, version }) => ({
+      key: KEY.dependencyPart(id, part),
+      version,
+    }));
+    const changes = this.#batch.map(({ part, value }) => ({ put: KEY.dependencyPart(id, part), value }));
+    const result = await this.store.compareAndSwap([...isNotAccepted, ...areUnchanged], changes);
+    if (!result.ok) {
+      throw new NoResponseError(`the dependencies of ${id} changed while they were written`, false);
+    }
+    for (const { part } of this.#batch) this.versions[part] = result.revision;
+    this.#batch = [];
+    this.#bytes = 0;
   }
-  await flush();
-  return versions;
 }
--- a/src/bookkeeping/dependency-tracker.ts
+++ b/src/bookkeeping/dependency-tracker.ts
@@ -8,22 +8,22 @@
 import { KEY, PREFIX, read } from './records';
 import type { WatchCache } from './watch-cache';
 
-/** How often outcomes that could not be read are asked for again. */
+/** How often outcomes that could not be read are tried again. */
 const RETRY_MS = 500;
 const READS_AT_ONCE = 8;
 /**
- * How old this node's copy of the records may be for it to say that no job before another was cancelled. It is far
- * below the bound on cancellations, and far above what a watch takes.
+ * How old this controller's copy of the records may be for it to say that no ancestor of a job was cancelled. It is far
+ * below the bound on cancellations, and far above the time of a watch.
  */
 const MAX_VIEW_AGE_MS = 5_000;
 
-/** Told of jobs whose last dependency is now known to be done. */
+/** Receives jobs whose last dependency is now known to be done. */
 type ReadyListener = (jobs: readonly string[]) => void;
 
 /**
  * Keeps the job graph in step with the records: live jobs come from the watched copy; the outcome of a dependency whose
- * live record is gone is read from the state service. A dependency counts as done by the state service's word only:
- * while its outcome is unknown, what needs it waits.
+ * live record is gone is read from the key-value store. A dependency counts as done only once its final state was read or
+ * written there: while its outcome is unknown, the jobs that depend on it wait.
  */
 export class DependencyTracker {
   readonly graph = new JobGraph();
@@ -46,25 +46,27 @@
     finals.onLearned(({ id, state, endedAt }) => {
       this.#unread.delete(id);
       const ready = this.graph.settle(id, { state, endedAt });
-      if (ready.length > 0) for (const listener of this.#readyListeners) listener(ready);
+      if (ready.length === 0) return;
+      for (const listener of this.#readyListeners) listener(ready);
     });
   }
 
+  /** Registers a listener that is called with jobs whose last dependency is now known to be done. */
   onReady(listener: ReadyListener): void {
     this.#readyListeners.push(listener);
   }
 
-  /** Whether the state service has acknowledged that all dependencies of a live job are done. */
+  /** Whether the key-value store has acknowledged that all dependencies of a live job are done. */
   isReady(id: string): boolean {
     return this.graph.isReady(id);
   }
 
-  /** Whether a job that this one needs is live in this node's copy: nobody can have started it before that copy. */
+  /** Whether a dependency of the job is live in this controller's copy: no owner can have started the job before it. */
   waitsForLiveJob(id: string): boolean {
     return this.graph.dependenciesOf(id).some((dependency) => this.cache.get(KEY.job(dependency)));
   }
 
-  /** What a job still waits for, as far as is known here. */
+  /** The dependencies that a job still waits for, as far as this controller knows. */
   unfinishedDependencies(id: string): string[] {
     return this.graph
       .dependenciesOf(id)
@@ -72,8 +74,8 @@
   }
 
   /**
-   * Whether a job that this one needs, directly or through others, is cancelled. Throws where this node can't tell:
-   * its copy of the records is too old, or an outcome can't be read.
+   * Whether a job that this one depends on, directly or through others, is cancelled. Throws where this controller can't
+   * determine that: its copy of the records is too old, or an outcome can't be read.
    */
   async isCancellationPending(id: string): Promise<boolean> {
     if (this.graph.isCancellationPending(id)) return true;
@@ -87,7 +89,7 @@
 
   async #readAncestors(id: string): Promise<void> {
     const unread = [...this.graph.unfinishedAncestors(id)].filter((ancestor) => this.#unread.has(ancestor));
-    // They are being read in the background; a user would wait too long for so many.
+    // They are being read in the background; a user would wait too long for so many reads.
     if (unread.length > READS_AT_ONCE) {
       throw new NoResponseError(
         `what became of ${unread.length} jobs before ${id} is still to be read`,
@@ -107,6 +109,7 @@
     }
   }
 
+  /** A part of a list of dependencies arrived: the job is added if it waited for that. */
   #addIncomplete(partKey: string): void {
     const id = jobOfDependencyPartKey(partKey);
     if (this.#incomplete.has(id)) this.#add(id, this.cache.get(KEY.job(id))?.value);
@@ -130,30 +133,30 @@
   #addDependency(id: string): void {
     const known = this.finals.known(id);
     if (known) this.graph.settle(id, known);
-    else if (!this.cache.get(KEY.job(id))) this.#mustRead(id);
+    else if (!this.cache.get(KEY.job(id))) this.#scheduleRead(id);
   }
 
   #remove(id: string): void {
     this.#incomplete.delete(id);
     this.graph.remove(id);
-    if (this.graph.isDependency(id) && !this.graph.outcome(id)) this.#mustRead(id);
+    if (this.graph.isDependency(id) && !this.graph.outcome(id)) this.#scheduleRead(id);
   }
 
-  #mustRead(id: string): void {
+  #scheduleRead(id: string): void {
     this.#unread.add(id);
     this.#wake.wake();
   }
 
-  /** One step: reads outcomes that became due. To be run in a loop. */
+  /** One step: reads the outcomes that are to be read. To be run in a loop. */
   async step(): Promise<void> {
     await this.#wake.wait(RETRY_MS);
-    // While the copy is being loaded, a dependency may seem gone that merely has not come yet.
+    // While the copy is being loaded, a dependency may seem to have ended whose live record just isn't loaded yet.
     if (!this.cache.loaded) return;
     for (const id of [...this.#unread]) if (!this.graph.isDependency(id)) this.#unread.delete(id);
-    const due = [...this.#unread];
-    for (let from = 0; from < due.length; from += READS_AT_ONCE) {
-      const batch = due.slice(from, from + READS_AT_ONCE).filter((id) => this.#unread.has(id));
-      // One that can't be read holds up no other; it is tried again in the next step.
+    const unread = [...this.#unread];
+    for (let from = 0; from < unread.length; from += READS_AT_ONCE) {
+      const batch = unread.slice(from, from + READS_AT_ONCE).filter((id) => this.#unread.has(id));
+      // An outcome that can't be read delays no other; it is tried again in the next step.
       await Promise.allSettled(batch.map((id) => this.finals.read(id)));
     }
   }
--- a/src/bookkeeping/dependent-cancellation.ts
+++ b/src/bookkeeping/dependent-cancellation.ts
@@ -1,22 +1,15 @@
-/** @file Cancels the jobs that need a cancelled one. */
+/** @file Cancels the jobs that depend on a cancelled one. */
 import type { Clock } from '../base/clock';
-import type { ChangeEvent, KeyValueStore } from '../protocol/key-value-store';
+import type { KeyValueStore } from '../protocol/key-value-store';
+import { CHANGES_PER_CANCELLATION, cancellationTransaction, type Cancellation } from './cancellation';
 import type { DependencyTracker } from './dependency-tracker';
 import type { JobStore } from './job-store';
-import { KEY, type FinalRecord } from './records';
+import { KEY } from './records';
 import type { WatchCache } from './watch-cache';
 
-/** Each cancelled job takes two changes: its final state, and its live record. */
-const CHANGES_PER_JOB = 2;
-const CHECK_MS = 1_000;
+const CHECK_INTERVAL_MS = 1_000;
 
-interface Cancellation {
-  readonly id: string;
-  readonly version: number;
-  readonly final: FinalRecord;
-}
-
-/** What this work needs. */
+/** What the cancellation of dependents works on. */
 export interface CancellationContext {
   readonly store: KeyValueStore;
   readonly cache: WatchCache;
@@ -25,30 +18,32 @@
   readonly dependencies: DependencyTracker;
   /** Changes that a transaction may have. */
   readonly changes: number;
-  publish(event: ChangeEvent): void;
 }
 
 /**
- * Cancels the live jobs that need a cancelled one. They have no tasks, since nothing of them started, so this is a
- * matter of records alone. Users are never told anything else of such a job meanwhile (`JobStore.find`): what is left
- * undone by a crash, or by congestion, may wait.
+ * Cancels the live jobs that depend on a cancelled one. They have no tasks, since none of them was started, so only
+ * records have to change. Until then `JobStore.find` reports such a job to users as cancelled all the same: what a crash
+ * or congestion leaves undone may wait.
  */
 export class DependentCancellation {
   constructor(private readonly context: CancellationContext) {}
 
   /** One step; to be run in a loop. */
   async step(mayAct: () => boolean): Promise<void> {
-    await this.context.clock.sleep(CHECK_MS);
+    await this.context.clock.sleep(CHECK_INTERVAL_MS);
     if (mayAct()) await this.cancelPending();
   }
 
-  /** Cancels all that this node knows to be condemned, a transaction at a time, until the steady time given. */
+  /**
+   * Cancels all jobs whose cancellation is pending as far as this controller knows, a transaction at a time, until the
+   * steady time given.
+   */
   async cancelPending(until = Infinity): Promise<void> {
     const { changes, clock } = this.context;
-    const size = Math.max(1, Math.floor(changes / CHANGES_PER_JOB));
-    const open = this.#pendingCancellations();
-    for (let from = 0; from < open.length && clock.now() < until; from += size) {
-      await this.#cancel(open.slice(from, from + size));
+    const batchSize = Math.max(1, Math.floor(changes / CHANGES_PER_CANCELLATION));
+    const pending = this.#pendingCancellations();
+    for (let from = 0; from < pending.length && clock.now() < until; from += batchSize) {
+      await this.#cancel(pending.slice(from, from + batchSize));
     }
   }
 
@@ -62,22 +57,12 @@
   }
 
   async #cancel(cancellations: readonly Cancellation[]): Promise<void> {
-    const { store, jobs, publish } = this.context;
-    const result = await store.compareAndSwap(
-      cancellations.flatMap(({ id, version }) => [
-        { key: KEY.job(id), version },
-        { key: KEY.final(id), version: 0 },
-      ]),
-      cancellations.flatMap(({ id, final }) => [
-        { put: KEY.final(id), value: final },
-        { delete: KEY.job(id) },
-      ]),
-    );
-    // Somebody else ended one of them meanwhile: the watch, or the next look at it, tells how.
+    const { store, jobs } = this.context;
+    const { conditions, changes } = cancellationTransaction(cancellations);
+    const result = await store.compareAndSwap(conditions, changes);
+    // Where a condition failed, another controller ended one of the jobs meanwhile: the watch brings that end, or the
+    // next check reads it.
     if (!result.ok) return;
-    for (const { id, final } of cancellations) {
-      jobs.rememberFinal(id, final);
-      publish({ key: KEY.job(id), version: result.revision, deleted: true });
-    }
+    for (const cancellation of cancellations) jobs.onCancelled(cancellation, result.revision);
   }
 }
--- a/src/bookkeeping/ended-jobs.ts
+++ b/src/bookkeeping/ended-jobs.ts
@@ -1,60 +1,70 @@
+/** @file What tasks of recently ended jobs may still use. */
 import type { Clock } from '../base/clock';
 import { PREFIX, read } from './records';
 import type { WatchCache } from './watch-cache';
 
-interface Size {
+/** CPUs and GPUs of tasks. */
+export interface TaskUsage {
   cpus: number;
   gpus: number;
 }
 
-/** Between a record's end in our view and the answer to the user who asked for it. */
-const TOLD_LATER_MS = 5_000;
+interface EndedJob {
+  readonly team: string;
+  readonly usage: TaskUsage;
+  /** Steady time of the end. */
+  readonly endedAt: number;
+}
+
+const MS_PER_S = 1000;
+/** Longest time from the deletion of a record in this controller's copy to the response to the user who cancelled. */
+const MAX_RESPONSE_DELAY_MS = 5_000;
 
 /**
- * Jobs that ended lately. Tasks of a cancelled job may be on a machine out of reach for as long as the bound on
- * cancellations allows: whoever takes a shard over has to know whose limits they fill.
+ * Jobs that ended recently. Tasks of a cancelled job may be on an unreachable machine for as long as the bound on
+ * cancellations allows: a controller that acquires a shard has to count them against the limits of their teams.
  */
 export class EndedJobs {
   readonly #windowMs: number;
   /** In the order in which they ended. */
-  #ended: (Size & { team: string; at: number })[] = [];
+  #ended: EndedJob[] = [];
 
   constructor(
     private readonly cache: WatchCache,
     private readonly clock: Clock,
     cancelS: number,
-    /** Whether a job that ended can't have had a task: one that it needed was cancelled. */
+    /** Whether a job that ended can't have had a task, because one of its dependencies was cancelled. */
     neverStarted: (job: string) => boolean,
   ) {
-    this.#windowMs = cancelS * 1000 + TOLD_LATER_MS;
-    cache.onChange((event, before) => {
+    this.#windowMs = cancelS * MS_PER_S + MAX_RESPONSE_DELAY_MS;
+    cache.onChange((event, previousValue) => {
       if (!event.deleted || !event.key.startsWith(PREFIX.job)) return;
       if (neverStarted(event.key.slice(PREFIX.job.length))) return;
-      const job = read.job(before)?.job;
+      const job = read.job(previousValue)?.job;
       if (job) this.#add(job.team, { cpus: job.cpus * job.tasks, gpus: job.gpus * job.tasks });
     });
   }
 
-  #add(team: string, size: Size): void {
-    this.#forget();
-    this.#ended.push({ ...size, team, at: this.clock.now() });
+  #add(team: string, usage: TaskUsage): void {
+    this.#forgetOld();
+    this.#ended.push({ team, usage, endedAt: this.clock.now() });
   }
 
-  #forget(): void {
+  #forgetOld(): void {
     const from = this.clock.now() - this.#windowMs;
-    const first = this.#ended.findIndex(({ at }) => at >= from);
+    const first = this.#ended.findIndex(({ endedAt }) => endedAt >= from);
     this.#ended = first < 0 ? [] : this.#ended.slice(first);
   }
 
-  /** What tasks of ended jobs may still use, by team; undefined when this node has not watched for long enough. */
-  usageByTeam(): Map<string, Size> | undefined {
+  /** What tasks of ended jobs may still use, by team; undefined when this controller has not watched for long enough. */
+  usageByTeam(): Map<string, TaskUsage> | undefined {
     if (this.clock.now() - this.cache.loadedAt < this.#windowMs) return undefined;
-    this.#forget();
-    const use = new Map<string, Size>();
-    for (const { team, cpus, gpus } of this.#ended) {
-      const sum = use.get(team) ?? { cpus: 0, gpus: 0 };
-      use.set(team, { cpus: sum.cpus + cpus, gpus: sum.gpus + gpus });
+    this.#forgetOld();
+    const usageByTeam = new Map<string, TaskUsage>();
+    for (const { team, usage } of this.#ended) {
+      const sum = usageByTeam.get(team) ?? { cpus: 0, gpus: 0 };
+      usageByTeam.set(team, { cpus: sum.cpus + usage.cpus, gpus: sum.gpus + usage.gpus });
     }
-    return use;
+    return usageByTeam;
   }
 }
--- a/src/bookkeeping/final-states.ts
+++ b/src/bookkeeping/final-states.ts
@@ -1,13 +1,13 @@
-/** @file Final states of jobs: their records, and a cache of what was read. */
-import type { FinalState, JobStatus } from '../protocol/model';
+/** @file Final states of jobs: their records, and a cache of those that were read or written. */
 import type { Entry, KeyValueStore } from '../protocol/key-value-store';
+import type { FinalState, JobStatus } from '../protocol/model';
 import { NoResponseError } from '../transport/http-client';
 import type { FormatGate } from './format-gate';
 import { KEY, read, type FinalRecord } from './records';
 
 const MAX_CACHED = 20_000;
 
-/** The end of a job, as the state service has it. */
+/** The final state of a job, as the key-value store has it. */
 export interface FinalStatus extends JobStatus {
   readonly state: FinalState;
   /** Time of day of the end in milliseconds; records of the previous version lack it. */
@@ -30,21 +30,22 @@
     private readonly formatGate: FormatGate,
   ) {}
 
-  /** The listener hears of each final state when this node learns it. */
+  /** Registers a listener that is called with each final state when this controller learns it. */
   onLearned(listener: (status: FinalStatus) => void): void {
     this.#listeners.push(listener);
   }
 
+  /** The final state of a job if it is cached. */
   known(id: string): FinalStatus | undefined {
     return this.#known.get(id);
   }
 
-  /** The record of an end; the previous version knows no time of it. */
+  /** The record of a final state; the previous version can't read the time of the end. */
   record(state: FinalState, done: number, endedAt: number): FinalRecord {
     return this.formatGate.isOpen ? { state, done, endedAt } : { state, done };
   }
 
-  /** Takes a final state that the state service has acknowledged. */
+  /** Caches a final state that the key-value store has acknowledged. */
   learn(id: string, { state, done, endedAt }: FinalRecord): FinalStatus {
     const known = this.#known.get(id);
     if (known) return known;
@@ -56,12 +57,12 @@
     return status;
   }
 
-  /** Reads a final state from the state service; undefined when there is none. */
+  /** Reads a final state from the key-value store; undefined when there is none. */
   async read(id: string): Promise<ReadFinal | undefined> {
     const entry = await this.store.get(KEY.final(id));
     if (!entry) return undefined;
     const final = read.final(entry.value);
-    // A job that has a record was accepted, whether we can read it or not.
+    // A job that has a record was accepted, even if the record is malformed.
     if (!final) throw new NoResponseError(`the final state of ${id} can't be read`, false);
     return { status: this.learn(id, final), entry };
   }
--- a/src/bookkeeping/format-gate.ts
+++ b/src/bookkeeping/format-gate.ts
@@ -5,14 +5,14 @@
 import { FORMAT, KEY, read, RECORD_FORMAT } from './records';
 import type { WatchCache } from './watch-cache';
 
-const CHECK_MS = 1_000;
+const CHECK_INTERVAL_MS = 1_000;
 const MARK_RETRY_MS = 300;
-const REPORT_MS = 10_000;
+const REPORT_INTERVAL_MS = 10_000;
 
-/** What the gate works on. */
+/** What the format gate works on. */
 export interface FormatGateContext {
   /** This controller. */
-  readonly node: string;
+  readonly controllerId: string;
   /** All controllers that the settings name, this one included. */
   readonly controllers: readonly string[];
   readonly store: KeyValueStore;
@@ -35,21 +35,21 @@
 
   constructor(private readonly context: FormatGateContext) {}
 
-  /** One step: writes this controller's mark, and tells the operator how far the upgrade is. To be run in a loop. */
+  /** One step: writes this controller's mark, and logs the progress of the upgrade. To be run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
     if (!this.#isMarked) this.#isMarked = await this.mark();
     this.#report();
-    await this.context.clock.sleep(this.#isMarked ? CHECK_MS : MARK_RETRY_MS, signal);
+    await this.context.clock.sleep(this.#isMarked ? CHECK_INTERVAL_MS : MARK_RETRY_MS, signal);
   }
 
-  /** One line when the gate opens, and one every now and then while it is closed. */
+  /** Logs once when the gate opens, and at intervals while it is closed. */
   #report(): void {
     if (this.#isReported || !this.context.cache.loaded) return;
     const now = this.context.clock.now();
     if (this.isOpenFor(RECORD_FORMAT)) {
       this.#isReported = true;
       this.context.log.info({ format: RECORD_FORMAT }, 'all controllers understand the record format');
-    } else if (now - this.#reportedAt >= REPORT_MS) {
+    } else if (now - this.#reportedAt >= REPORT_INTERVAL_MS) {
       this.#reportedAt = now;
       this.context.log.info(
         { format: RECORD_FORMAT, missing: this.missing() },
@@ -63,7 +63,7 @@
     return this.isOpenFor(FORMAT.dependencies);
   }
 
-  /** Whether every controller understands a format, as far as this node's copy of the records tells. */
+  /** Whether every controller understands a format, as far as this controller's copy of the records shows. */
   isOpenFor(format: number): boolean {
     if (this.#openFor.has(format)) return true;
     if (this.missing(format).length > 0) return false;
@@ -71,18 +71,18 @@
     return true;
   }
 
-  /** Controllers that have not shown that they understand a format. */
+  /** Controllers whose marks do not say that they understand a format. */
   missing(format: number = RECORD_FORMAT): string[] {
     return this.context.controllers.filter(
-      (name) => !understands(this.context.cache.get(KEY.format(name))?.value, format),
+      (controller) => !understands(this.context.cache.get(KEY.format(controller))?.value, format),
     );
   }
 
-  /** Like `isOpen`, by the state service's word: the copy may lag behind a mark that was written a moment ago. */
+  /** Like `isOpen`, but reads the marks from the key-value store: the copy may lag behind a mark just written. */
   async confirmOpen(): Promise<boolean> {
     if (this.isOpen) return true;
-    for (const name of this.missing(FORMAT.dependencies)) {
-      const entry = await this.context.store.get(KEY.format(name));
+    for (const controller of this.missing(FORMAT.dependencies)) {
+      const entry = await this.context.store.get(KEY.format(controller));
       if (!understands(entry?.value, FORMAT.dependencies)) return false;
     }
     this.#openFor.add(FORMAT.dependencies);
@@ -91,10 +91,10 @@
 
   /** Writes this controller's mark, unless it is there. True: it is there now. */
   async mark(): Promise<boolean> {
-    const key = KEY.format(this.context.node);
+    const key = KEY.format(this.context.controllerId);
     const entry = await this.context.store.get(key);
     if (understands(entry?.value, RECORD_FORMAT)) return true;
-    // Guarded, so that a write carried out late can't replace the mark of a newer version.
+    // On the condition of its version, so that a write carried out late can't replace the mark of a newer version.
     const result = await this.context.store.compareAndSwap(
       [{ key, version: entry?.version ?? 0 }],
       [{ put: key, value: { format: RECORD_FORMAT } }],
--- /dev/null
+++ b/src/bookkeeping/job-acceptance.ts
@@ -0,0 +1,141 @@
+/** @file Acceptance of submitted jobs. */
+import type { Clock } from '../base/clock';
+import type {
+  ChangeEvent,
+  CompareAndSwapResult,
+  Condition,
+  KeyValueStore,
+} from '../protocol/key-value-store';
+import type { Job, JobStatus } from '../protocol/model';
+import { NoResponseError } from '../transport/http-client';
+import { SubmissionDeferredError, type AdmissionPolicy, type AdmissionTerms } from './admission-policy';
+import { eventOfChange } from './change-events';
+import { prepareJobRecord, type RecordLimits } from './dependency-records';
+import type { FinalStates } from './final-states';
+import type { FormatGate } from './format-gate';
+import { unendedJobConditions } from './job-conditions';
+import { KEY, type JobRecord } from './records';
+import { SubmittedDependencies } from './submitted-dependencies';
+import type { WatchCache } from './watch-cache';
+
+/** How often an acceptance is tried in all: each failed condition may show that its admission terms have changed. */
+const MAX_ADMISSION_TRIES = 5;
+
+/** What the acceptance of jobs works on. */
+export interface JobAcceptanceContext {
+  readonly store: KeyValueStore;
+  readonly cache: WatchCache;
+  readonly clock: Clock;
+  readonly finals: FinalStates;
+  readonly formatGate: FormatGate;
+  readonly limits: RecordLimits;
+  readonly admission: AdmissionPolicy;
+  /** Applies an acknowledged change to this controller's copy of the records, and notifies the peers. */
+  publish(event: ChangeEvent): void;
+}
+
+/** The outcome of a submission. */
+export interface Acceptance {
+  /** False: the job had been accepted before. */
+  readonly isNew: boolean;
+  readonly status: JobStatus;
+}
+
+/** Writes the live records of submitted jobs. A job that was accepted stays accepted. */
+export class JobAcceptance {
+  readonly #dependencies: SubmittedDependencies;
+
+  /** `find` reads a job's state from the key-value store; undefined where the job was never accepted. */
+  constructor(
+    private readonly context: JobAcceptanceContext,
+    private readonly find: (id: string) => Promise<JobStatus | undefined>,
+  ) {
+    this.#dependencies = new SubmittedDependencies(context);
+  }
+
+  /** Accepts a job, or finds the one that was accepted before under this id. */
+  async accept(job: Job): Promise<Acceptance> {
+    const known = this.context.finals.known(job.id);
+    if (known) return { isNew: false, status: known };
+    let checked: Job;
+    try {
+      checked = await this.#dependencies.withUnfinished(job);
+    } catch (error) {
+      // An accepted job stays accepted, whatever a repeated submission names.
+      const status = await this.find(job.id);
+      if (status) return { isNew: false, status };
+      throw error;
+    }
+    try {
+      if (await this.#writeIfAdmitted(job, checked)) {
+        return { isNew: true, status: await this.#statusOfAccepted(checked) };
+      }
+    } catch (error) {
+      const status = error instanceof SubmissionDeferredError ? await this.#findDeferred(job.id) : undefined;
+      if (status) return { isNew: false, status };
+      throw error;
+    }
+    const status = await this.find(job.id);
+    if (status) return { isNew: false, status };
+    throw new NoResponseError('a submission was not confirmed', true);
+  }
+
+  /**
+   * The state of a job whose repeated submission is deferred: an accepted job is never deferred later. Undefined: it
+   * wasn't accepted, or that can't be determined now.
+   */
+  async #findDeferred(id: string): Promise<JobStatus | undefined> {
+    const { admission, cache } = this.context;
+    const isLive = cache.get(KEY.job(id)) !== undefined;
+    if (!isLive && !(await admission.allowsLookUp())) return undefined;
+    // Where the read fails, the response is the deferral, which names the time of the next try.
+    return this.find(id).catch(() => undefined);
+  }
+
+  /**
+   * Writes the record of a job if it is admitted. `job` is the job as its user described it, `checked` the one to be
+   * stored. False: it may have been accepted before, or the response is missing.
+   */
+  async #writeIfAdmitted(job: Job, checked: Job): Promise<boolean> {
+    const { store, clock, limits, admission, publish } = this.context;
+    let terms = await admission.termsFor(job);
+    const { record, conditions } = await prepareJobRecord(checked, clock.date().getTime(), store, limits);
+    for (let attempt = 1; attempt <= MAX_ADMISSION_TRIES; attempt += 1) {
+      const result = await this.#write(record, conditions, terms);
+      if (result?.ok) {
+        publish(eventOfChange({ put: KEY.job(record.job.id), value: record }, result.revision));
+        admission.accepted(terms, result.revision);
+        return true;
+      }
+      if (!result || !(await admission.refresh(terms, result.failed))) return false;
+      terms = await admission.termsFor(job);
+    }
+    return false;
+  }
+
+  /** Undefined: the response is missing. */
+  async #write(
+    record: JobRecord,
+    partConditions: readonly Condition[],
+    terms: AdmissionTerms,
+  ): Promise<CompareAndSwapResult | undefined> {
+    const key = KEY.job(record.job.id);
+    const isNotAccepted = unendedJobConditions(record.job.id, 0);
+    const conditions = [...isNotAccepted, ...partConditions, ...terms.conditions];
+    const changes = [{ put: key, value: record }, ...terms.changes];
+    try {
+      return await this.context.store.compareAndSwap(conditions, changes);
+    } catch (error) {
+      if (!(error instanceof NoResponseError)) throw error;
+      // It may have been written: the caller reads it back. If it is written later still, the user's retry finds it.
+      return undefined;
+    }
+  }
+
+  /** A job that depends on a cancelled one is accepted and is cancelled with it. */
+  async #statusOfAccepted(job: Job): Promise<JobStatus> {
+    const queued: JobStatus = { id: job.id, state: 'queued', done: 0, running: 0 };
+    if (!job.dependencies) return queued;
+    return (await this.find(job.id)) ?? queued;
+  }
+}
--- /dev/null
+++ b/src/bookkeeping/job-conditions.ts
@@ -0,0 +1,11 @@
+/** @file The conditions of transactions on jobs that have not ended. */
+import type { Condition } from '../protocol/key-value-store';
+import { KEY } from './records';
+
+/** The job has not ended, and its live record has this version; 0: the job was never accepted. */
+export function unendedJobConditions(id: string, liveVersion: number): Condition[] {
+  return [
+    { key: KEY.job(id), version: liveVersion },
+    { key: KEY.final(id), version: 0 },
+  ];
+}
--- a/src/bookkeeping/job-graph.ts
+++ b/src/bookkeeping/job-graph.ts
@@ -1,7 +1,7 @@
 /** @file The dependencies among live jobs. */
 import type { FinalState } from '../protocol/model';
 
-/** What is known of the end of a job that others depend on. */
+/** How a job that others depend on ended. */
 export interface DependencyOutcome {
   readonly state: FinalState;
   /** Time of day of its end in milliseconds, where it was recorded. */
@@ -11,9 +11,9 @@
 const NO_JOBS: readonly string[] = [];
 
 /**
- * The dependencies among live jobs, as far as this node knows them. It holds a live job that has dependencies and, for
- * each dependency, its outcome once the state service has told it. Everything is kept up to date as jobs come and go,
- * without recursion: chains may be thousands of jobs long.
+ * The dependencies among live jobs, as far as this controller knows them: a graph with an edge from each live job to each
+ * of its dependencies, and the outcome of a dependency once it was read from the key-value store. Everything is kept up
+ * to date as jobs come and go, without recursion: chains may be thousands of jobs long.
  */
 export class JobGraph {
   readonly #dependencies = new Map<string, readonly string[]>();
@@ -21,24 +21,26 @@
   readonly #outcomes = new Map<string, DependencyOutcome>();
   /** How many dependencies of a job are not known to be done. */
   readonly #unfinished = new Map<string, number>();
-  /** Live jobs that need a cancelled one, directly or through others. */
+  /** Live jobs that depend on a cancelled one, directly or through others. */
   readonly #pendingCancellations = new Set<string>();
   #version = 0;
 
-  /** Changes whenever an edge comes or goes. */
+  /** Changes whenever an edge is added or removed. */
   get version(): number {
     return this.#version;
   }
 
-  /** Live jobs that are to be cancelled because a job that they need is cancelled. */
+  /** Live jobs that are to be cancelled because a job that they depend on is cancelled. */
   get pendingCancellations(): ReadonlySet<string> {
     return this.#pendingCancellations;
   }
 
+  /** Whether the job is live and has dependencies. */
   has(job: string): boolean {
     return this.#dependencies.has(job);
   }
 
+  /** Whether a live job depends on the job. */
   isDependency(job: string): boolean {
     return this.#dependents.has(job);
   }
@@ -48,10 +50,12 @@
     return this.#dependencies.keys();
   }
 
+  /** The jobs that the job depends on directly. */
   dependenciesOf(job: string): readonly string[] {
     return this.#dependencies.get(job) ?? NO_JOBS;
   }
 
+  /** The live jobs that depend on the job directly. */
   dependentsOf(job: string): Iterable<string> {
     return this.#dependents.get(job) ?? NO_JOBS;
   }
@@ -61,6 +65,7 @@
     return this.#dependents.keys();
   }
 
+  /** How a dependency ended; undefined while that is not known. */
   outcome(job: string): DependencyOutcome | undefined {
     return this.#outcomes.get(job);
   }
@@ -70,10 +75,12 @@
     return this.#unfinished.get(job) === 0;
   }
 
+  /** Whether the job is to be cancelled because a job that it depends on is cancelled. */
   isCancellationPending(job: string): boolean {
     return this.#pendingCancellations.has(job);
   }
 
+  /** Adds a live job and its dependencies. */
   add(job: string, dependencies: readonly string[]): void {
     if (this.#dependencies.has(job)) return;
     const distinct = [...new Set(dependencies)];
@@ -82,16 +89,20 @@
       const dependents = this.#dependents.get(dependency) ?? new Set<string>();
       this.#dependents.set(dependency, dependents.add(job));
     }
-    this.#unfinished.set(job, distinct.filter((d) => this.#outcomes.get(d)?.state !== 'done').length);
+    this.#unfinished.set(job, distinct.filter((dependency) => !this.#isDone(dependency)).length);
     this.#version += 1;
-    if (distinct.some((d) => this.#isCancelled(d))) this.#markForCancellation([job]);
+    if (distinct.some((dependency) => this.#isCancelled(dependency))) this.#markForCancellation([job]);
+  }
+
+  #isDone(job: string): boolean {
+    return this.#outcomes.get(job)?.state === 'done';
   }
 
   #isCancelled(job: string): boolean {
     return this.#pendingCancellations.has(job) || this.#outcomes.get(job)?.state === 'cancelled';
   }
 
-  /** The job is no longer live. */
+  /** Removes a job that is no longer live. */
   remove(job: string): void {
     const dependencies = this.#dependencies.get(job);
     if (!dependencies) return;
@@ -110,7 +121,7 @@
     this.#outcomes.delete(dependency);
   }
 
-  /** The state service has told how a dependency ended. Returns the jobs that are ready from now on. */
+  /** Sets the outcome of a dependency, as the key-value store has it. Returns the jobs that are ready from now on. */
   settle(job: string, outcome: DependencyOutcome): string[] {
     const dependents = this.#dependents.get(job);
     if (!dependents || this.#outcomes.has(job)) return [];
@@ -121,33 +132,33 @@
     }
     const ready: string[] = [];
     for (const dependent of dependents) {
-      const left = (this.#unfinished.get(dependent) ?? 0) - 1;
-      this.#unfinished.set(dependent, left);
-      if (left === 0) ready.push(dependent);
+      const unfinished = (this.#unfinished.get(dependent) ?? 0) - 1;
+      this.#unfinished.set(dependent, unfinished);
+      if (unfinished === 0) ready.push(dependent);
     }
     return ready;
   }
 
-  /** Marks jobs, and all that need them. */
+  /** Marks jobs, and all that depend on them. */
   #markForCancellation(jobs: Iterable<string>): void {
-    const open = [...jobs];
-    for (let job = open.pop(); job !== undefined; job = open.pop()) {
+    const unvisited = [...jobs];
+    for (let job = unvisited.pop(); job !== undefined; job = unvisited.pop()) {
       if (this.#pendingCancellations.has(job)) continue;
       this.#pendingCancellations.add(job);
-      open.push(...this.dependentsOf(job));
+      unvisited.push(...this.dependentsOf(job));
     }
   }
 
-  /** All that the job needs and that is not known to be done, directly or through others. */
+  /** All jobs that the job depends on, directly or through others, and that are not known to be done. */
   unfinishedAncestors(job: string): Set<string> {
-    const found = new Set<string>();
-    const open = [...this.dependenciesOf(job)];
-    for (let next = open.pop(); next !== undefined; next = open.pop()) {
-      if (found.has(next) || this.#outcomes.get(next)?.state === 'done') continue;
-      found.add(next);
-      open.push(...this.dependenciesOf(next));
+    const ancestors = new Set<string>();
+    const unvisited = [...this.dependenciesOf(job)];
+    for (let next = unvisited.pop(); next !== undefined; next = unvisited.pop()) {
+      if (ancestors.has(next) || this.#isDone(next)) continue;
+      ancestors.add(next);
+      unvisited.push(...this.dependenciesOf(next));
     }
-    return found;
+    return ancestors;
   }
 
   /** When the last dependency ended, as a time of day; undefined where no end is known or recorded. */
--- a/src/bookkeeping/records.ts
+++ b/src/bookkeeping/records.ts
@@ -1,28 +1,38 @@
+/**
+ * @file The records in the key-value store: their keys, their schemas, and functions that read them.
+ *
+ * Some keys and fields have older names than the code (`baton`: fencing token, `block`: shard, `keep`: relay). They stay
+ * as they are stored, so that versions understand each other's records.
+ */
 import * as z from 'zod';
 import type { Job } from '../protocol/model';
 
 /**
- * The records in the state service. Everything that is in work lies under one prefix, which every node watches;
- * final states lie apart and are read when asked for, so that what a node holds stays small.
+ * The prefix of all records that concern live jobs, shards, machines and controllers, which every controller watches.
+ * Final states lie apart and are read on demand, so that a controller's copy stays small.
  */
 export const LIVE = 'live/';
-/** Record formats by what they brought (docs/UPGRADE.md). Format 1 left no mark and knows none of it. */
+
+/** Record formats by what they introduced (docs/UPGRADE.md). Format 1 left no mark and has none of it. */
 export const FORMAT = {
   /** Dependencies among jobs, and completions and machine types in small parts. */
   dependencies: 2,
-  /** Admission epochs, which every acceptance has to be guarded on. */
+  /** Admission epochs, which the conditions of every acceptance have to name. */
   admission: 3,
 } as const;
+
 /** The newest format that this version writes and understands. */
 export const RECORD_FORMAT = FORMAT.admission;
+
+/** The key of each record. */
 export const KEY = {
   leader: 'live/leader',
   fencingToken: 'live/baton',
   types: 'live/types',
   typesPart: (part: number) => `live/types-part/${part}`,
-  controller: (node: string) => `live/node/${node}`,
+  controller: (controller: string) => `live/node/${controller}`,
   /** The record format that a controller understands; durable, see `FormatGate`. */
-  format: (node: string) => `live/format/${node}`,
+  format: (controller: string) => `live/format/${controller}`,
   shard: (shard: number) => `live/block/${shard}`,
   lease: (shard: number) => `live/lease/${shard}`,
   machine: (id: string) => `live/machine/${id}`,
@@ -32,19 +42,18 @@
   done: (id: string, chunk: number) => `live/done/${id}/${chunk}`,
   /** Completions of the tasks from `first` up to `end`, not included. */
   bits: (id: string, first: number, end: number) => `live/bits/${id}/${first}-${end}`,
-  /**
-   * A node relays the leases of a shard's workers which reach it and not the owner. `keep` is an older name of that,
-   * and stays as the stored key.
-   */
-  relay: (shard: number, node: string) => `live/keep/${shard}/${node}`,
+  /** A controller relays the leases of a shard's workers which reach it and not the owner. */
+  relay: (shard: number, controller: string) => `live/keep/${shard}/${controller}`,
   /** The admission epoch. */
   admission: 'live/admission',
   /** What the teams of a class are granted in the epoch; `name` is derived from the class. */
   admissionClass: (name: string) => `live/admission-class/${name}`,
-  /** What a flow was admitted; `name` is derived from its class and team. */
+  /** What was admitted for a flow; `name` is derived from its class and team. */
   admissionFlow: (name: string) => `live/admission-flow/${name}`,
   final: (id: string) => `final/${id}`,
 };
+
+/** The prefixes of the keys of each kind of record, for `WatchCache.under`. */
 export const PREFIX = {
   controller: 'live/node/',
   shard: 'live/block/',
@@ -68,7 +77,7 @@
 const shardRecord = z.object({
   owner: z.string(),
   teams: z.array(z.string()),
-  /** The node that took the shard last. */
+  /** The controller that acquired the shard last. */
   holder: z.string().optional(),
   /** How many shards there are in all. */
   of: z.int().min(1).optional(),
@@ -80,9 +89,9 @@
   type: z.string(),
   zone: z.string(),
   spot: z.boolean(),
-  /** Set before the machine is first answered: one that isn't up can't hold a task. */
+  /** Set before the worker gets its first response: a machine that isn't up can't hold a task. */
   up: z.boolean(),
-  /** Time of day of the rental, for ageing only. */
+  /** Time of day of the rental, for its age only. */
   rentedAt: z.number(),
 });
 const finalRecord = z.object({
@@ -96,7 +105,7 @@
 const jobRecord = z.object({
   job: z.custom<Job>((v) => typeof v === 'object' && v !== null && 'id' in v && 'tasks' in v),
   submittedAt: z.number(),
-  /** In how many parts of its own the list of dependencies is stored; absent where it stands in `job`. */
+  /** The number of records that hold the list of dependencies; absent where the list stands in `job`. */
   dependencyParts: z.int().min(1).optional(),
 });
 const machineType = z.object({
@@ -113,7 +122,7 @@
 });
 const typesRecord = z.object({ types: z.array(machineType) });
 const typesPartRecord = z.object({
-  /** Which writing of all parts this one belongs to. */
+  /** Parts that were written together have the same edition. */
   edition: z.int().min(1),
   /** How many parts there are in all. */
   of: z.int().min(1),
@@ -126,7 +135,7 @@
   /** Counts overloads. */
   overload: count,
   isOverloaded: z.boolean(),
-  /** Time between two epochs of an overload. */
+  /** Time between two epochs of an overload, in milliseconds. */
   epochMs: z.number().positive(),
   weights: z.object({ classes: weights, teams: weights }),
   /** CPU seconds that a flow without a grant of its own may take. */
@@ -148,15 +157,25 @@
   admitted: z.number().min(0),
 });
 
+/** The admission epoch. */
 export type AdmissionRecord = z.infer<typeof admissionRecord>;
+/** The grants of one class in an admission epoch. */
 export type AdmissionClassRecord = z.infer<typeof admissionClassRecord>;
+/** What was admitted for one flow in an overload. */
 export type AdmissionFlowRecord = z.infer<typeof admissionFlowRecord>;
+/** A live controller, and the lease of its session. */
 export type ControllerRecord = z.infer<typeof controllerRecord>;
+/** The assignment of a shard to a controller, and the teams whose jobs belong to the shard. */
 export type ShardRecord = z.infer<typeof shardRecord>;
+/** The lease of a shard: its owner and the owner's fencing token. */
 export type LeaseRecord = z.infer<typeof leaseRecord>;
+/** A rented machine, and the shard that it belongs to. */
 export type MachineRecord = z.infer<typeof machineRecord>;
+/** The final state of a job. */
 export type FinalRecord = z.infer<typeof finalRecord>;
+/** A part of a job's list of dependencies. */
 export type DependencyPartRecord = z.infer<typeof dependencyPartRecord>;
+/** A live job. */
 export type JobRecord = z.infer<typeof jobRecord>;
 
 function reader<T>(schema: z.ZodType<T>): (value: unknown) => T | undefined {
@@ -166,6 +185,7 @@
   };
 }
 
+/** Readers of each kind of record: the value if it follows the schema, else undefined. */
 export const read = {
   controller: reader(controllerRecord),
   format: reader(formatRecord),
--- a/src/bookkeeping/type-records.ts
+++ b/src/bookkeeping/type-records.ts
@@ -1,20 +1,19 @@
-/** @file The record of machine types, whole or in parts. */
+/**
+ * @file The records of the machine types, from which a controller that starts while the cloud is down reads them.
+ *
+ * It is one record or, when that would not fit one value, several parts that each hold some of the types. Parts that were
+ * written together have the same edition; they count only when all of them exist.
+ */
 import { jsonBytes } from '../base/state-limits';
 import type { MachineType } from '../protocol/model';
 import type { Change, Condition, KeyValueStore } from '../protocol/key-value-store';
 import { KEY, PREFIX, read } from './records';
 import type { WatchCache } from './watch-cache';
 
-/**
- * The record of machine types, from which a node that starts while the cloud is down learns them. It is one record, or,
- * when that would not fit one value, several parts that each hold some of the types. Parts of one writing have the same
- * edition; they count only when all of them are there.
- */
-
-/** Room in a value for the text around the list of types. */
+/** Bytes of a value for the text around the list of types. */
 const OVERHEAD_BYTES = 64;
 
-/** What bounds the writing of the types. */
+/** The limits on records of machine types. */
 export interface TypeRecordLimits {
   valueBytes: number;
   /** Changes of one transaction. */
@@ -29,20 +28,20 @@
   types: MachineType[];
 }
 
-/** One transaction of those that write the types. */
-interface Batch {
+/** One of the transactions that write the types. */
+export interface TypesTransaction {
   conditions: Condition[];
   changes: Change[];
 }
 
 type Records = Pick<WatchCache, 'get' | 'under' | 'version'>;
 
-/** Whether a key is that of the types, whole or in parts. */
+/** Whether a key is that of a record of machine types, whole or in parts. */
 export function isTypesKey(key: string): boolean {
   return key === KEY.types || key.startsWith(PREFIX.typesPart);
 }
 
-/** The types as they are stored: the parts if all are there, else the one record. */
+/** The types as they are stored: the parts if all exist, else the one record. */
 export function readTypes(records: Records): readonly MachineType[] | undefined {
   return readParts(records)?.types ?? read.types(records.get(KEY.types)?.value)?.types;
 }
@@ -65,20 +64,20 @@
   types: readonly MachineType[],
   records: Records,
   limits: TypeRecordLimits,
-): Batch[] {
+): TypesTransaction[] {
   if (types.length === 0) return [];
   const stored = readParts(records);
   const known = stored ?? read.types(records.get(KEY.types)?.value);
   if (JSON.stringify(known?.types) === JSON.stringify(types)) return [];
   const fitsOne = jsonBytes({ types }) <= limits.valueBytes;
-  // Once there are parts they are what is read, and stay what is written.
+  // Once parts exist they are read rather than the one record, and so they have to be written too.
   if (stored === undefined && (fitsOne || !limits.mayUseParts)) {
     const condition = { key: KEY.types, version: records.version(KEY.types) };
     return [{ conditions: [condition], changes: [{ put: KEY.types, value: { types } }] }];
   }
-  const lists = split(types, limits.valueBytes - OVERHEAD_BYTES);
+  const lists = splitTypes(types, limits.valueBytes - OVERHEAD_BYTES);
   if (lists === undefined) return [];
-  return batchesOfParts(lists, records, limits.changes);
+  return partTransactions(lists, records, limits.changes);
 }
 
 function readParts(records: Records): TypesPart | undefined {
@@ -94,7 +93,7 @@
 }
 
 /** Splits the list so that each part fits; undefined when a single type doesn't. */
-function split(types: readonly MachineType[], bytes: number): MachineType[][] | undefined {
+function splitTypes(types: readonly MachineType[], bytes: number): MachineType[][] | undefined {
   const lists: MachineType[][] = [];
   let list: MachineType[] = [];
   for (const type of types) {
@@ -109,7 +108,11 @@
   return lists;
 }
 
-function batchesOfParts(lists: MachineType[][], records: Records, changesAtOnce: number): Batch[] {
+function partTransactions(
+  lists: readonly MachineType[][],
+  records: Records,
+  changesAtOnce: number,
+): TypesTransaction[] {
   const stored = [...records.under(PREFIX.typesPart)];
   const editions = stored.map((entry) => read.typesPart(entry.value)?.edition ?? 0);
   const edition = Math.max(0, ...editions) + 1;
@@ -118,15 +121,15 @@
     value: { edition, of: lists.length, types } satisfies TypesPart,
   }));
   const written = new Set(puts.map(({ put }) => put));
-  const left = stored.filter(({ key }) => !written.has(key));
-  const changes: Change[] = [...puts, ...left.map(({ key }) => ({ delete: key }))];
-  const batches: Batch[] = [];
+  const surplus = stored.filter(({ key }) => !written.has(key));
+  const changes: Change[] = [...puts, ...surplus.map(({ key }) => ({ delete: key }))];
+  const transactions: TypesTransaction[] = [];
   for (let from = 0; from < changes.length; from += changesAtOnce) {
     const batch = changes.slice(from, from + changesAtOnce);
     const conditions = batch.map((change) => conditionFor(change, records));
-    batches.push({ conditions, changes: batch });
+    transactions.push({ conditions, changes: batch });
   }
-  return batches;
+  return transactions;
 }
 
 function conditionFor(change: Change, records: Records): Condition {
--- a/src/coordination/controller-services.ts
+++ b/src/coordination/controller-services.ts
@@ -63,6 +63,36 @@
   return new Cloud(http, platform.external.cloud, new RateLimit(clock, rate, CLOUD_BURST), CLOUD_TIMEOUT_MS);
 }
 
+function createWatchCache(
+  { shardLeaseMs, throttling }: Settings,
+  store: KeyValueStore,
+  clock: Clock,
+): WatchCache {
+  return new WatchCache({
+    store,
+    prefix: LIVE,
+    clock,
+    waitMs: shardLeaseMs / WATCHES_PER_LEASE,
+    minWatchIntervalMs: throttling.watchPaceMs,
+  });
+}
+
+function createSession(
+  { platform, shardLeaseMs }: Settings,
+  { clock, log }: Environment,
+  store: KeyValueStore,
+  cache: WatchCache,
+): Session {
+  return new Session({
+    controllerId: platform.node,
+    ttlMs: shardLeaseMs,
+    store,
+    cache,
+    clock,
+    log,
+  });
+}
+
 function createFormatGate(
   { platform }: Settings,
   { clock, log }: Environment,
@@ -70,7 +100,14 @@
   cache: WatchCache,
 ): FormatGate {
   const controllers = [platform.node, ...platform.others.map((other) => other.node)];
-  return new FormatGate({ node: platform.node, controllers, store, cache, clock, log });
+  return new FormatGate({
+    controllerId: platform.node,
+    controllers,
+    store,
+    cache,
+    clock,
+    log,
+  });
 }
 
 /** Undefined: suspicion is off here. */
@@ -125,10 +162,9 @@
   store: KeyValueStore = createStateStore(settings, environment),
 ): ControllerServices {
   const { clock, log, workers, random } = environment;
-  const { platform, shardLeaseMs, throttling } = settings;
-  const { node } = platform;
-  const cache = new WatchCache(store, LIVE, clock, shardLeaseMs / WATCHES_PER_LEASE, throttling.watchPaceMs);
-  const session = new Session(node, shardLeaseMs, store, cache, clock, log);
+  const { platform } = settings;
+  const cache = createWatchCache(settings, store, clock);
+  const session = createSession(settings, environment, store, cache);
   const publish = (event: ChangeEvent): void => {
     cache.offer(event);
     environment.broadcast(writePeerMessage({ kind: 'change notification', event }));
@@ -142,7 +178,7 @@
   const cloud = createCloud(settings, environment);
   const machineTypes = new MachineTypes({ settings, clock, cache, store, formatGate, cloud });
   const context: ControllerContext = {
-    controllerId: node,
+    controllerId: platform.node,
     settings,
     clock,
     random,
--- a/src/coordination/routes.ts
+++ b/src/coordination/routes.ts
@@ -1,8 +1,8 @@
 import { traceSubmission } from '../admission/tracing';
 import { describeError } from '../base/loop';
 import type { Log } from '../base/log';
-import { SubmissionDeferred } from '../bookkeeping/admission-policy';
-import { UnknownDependency } from '../bookkeeping/job-store';
+import { SubmissionDeferredError } from '../bookkeeping/admission-policy';
+import { UnknownDependencyError } from '../bookkeeping/submitted-dependencies';
 import type { Job, MachineType } from '../protocol/model';
 import { JOB_ID, readSubmission, typeAllows, writeStanding, writeStatus } from '../protocol/users';
 import { readHeartbeat, writeRedirect, writeHeartbeatResponse } from '../protocol/workers';
@@ -37,8 +37,8 @@
 export function createRoutes(node: Controller, log: Log): Route[] {
   const { teams } = node.settings.platform.deployment;
   const undecided = (error?: unknown): HttpReply => {
-    if (error instanceof UnknownDependency) return refused(422, error.message);
-    if (error instanceof SubmissionDeferred) {
+    if (error instanceof UnknownDependencyError) return refused(422, error.message);
+    if (error instanceof SubmissionDeferredError) {
       const { retryAfterS } = error;
       return { status: 503, body: { error: 'deferred', retryAfterS }, retryAfterS };
     }
--- a/test/fakes/scripted-watch.ts
+++ b/test/fakes/scripted-watch.ts
@@ -15,7 +15,13 @@
       list: () => Promise.resolve({ entries: [], more: false, revision: this.revision }),
       changes: () => Promise.resolve({ revision: this.revision, events: this.events }),
     };
-    this.cache = new WatchCache(store as unknown as KeyValueStore, 'live/', this.#clock, 1000, 0);
+    this.cache = new WatchCache({
+      store: store as unknown as KeyValueStore,
+      prefix: 'live/',
+      clock: this.#clock,
+      waitMs: 1000,
+      minWatchIntervalMs: 0,
+    });
   }
 
   async step(): Promise<void> {
--- a/test/format-gate.test.ts
+++ b/test/format-gate.test.ts
@@ -30,10 +30,16 @@
 
   /** The gate of a controller whose copy of the records is as they are now, and stays so. */
   async gate(node: string): Promise<FormatGate> {
-    const cache = new WatchCache(this.store, LIVE, this.#clock, 0, 0);
+    const cache = new WatchCache({
+      store: this.store,
+      prefix: LIVE,
+      clock: this.#clock,
+      waitMs: 0,
+      minWatchIntervalMs: 0,
+    });
     await cache.step();
     return new FormatGate({
-      node,
+      controllerId: node,
       controllers: CONTROLLERS,
       store: this.store,
       cache,
--- a/test/limited-service.ts
+++ b/test/limited-service.ts
@@ -58,7 +58,13 @@
 
   /** A copy that is read anew. */
   secondCache(): WatchCache {
-    const cache = new WatchCache(this.#newStore(NOW.write_rps), 'live/', this.clock, 500, 50);
+    const cache = new WatchCache({
+      store: this.#newStore(NOW.write_rps),
+      prefix: 'live/',
+      clock: this.clock,
+      waitMs: 500,
+      minWatchIntervalMs: 50,
+    });
     const context = { clock: this.clock, log: quiet, signal: new AbortController().signal };
     void runLoop('watch', () => cache.step(), context, 300);
     return cache;
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -148,7 +148,10 @@
   const many = Array.from({ length: 40 }, (_, n) => machineType(n));
   const fallen = { valueBytes: valueBytes(FALLEN), changes: 3, mayUseParts: true };
   const expected = [
-    { guards: [{ key: 'live/types', version: 0 }], changes: [{ put: 'live/types', value: { types: few } }] },
+    {
+      conditions: [{ key: 'live/types', version: 0 }],
+      changes: [{ put: 'live/types', value: { types: few } }],
+    },
   ];
   assert.deepEqual(typeBatches(few, service.cache, fallen), expected);
   assert.equal(typeBatches(many, service.cache, { ...fallen, mayUseParts: false }).length, 1);
--- a/test/suspicion-messages.test.ts
+++ b/test/suspicion-messages.test.ts
@@ -71,13 +71,13 @@
   const clock = new FakeClock();
   const unreachable = { call: () => new Promise<never>(() => undefined) };
   const limit = new RateLimit(clock, 100, 100);
-  const cache = new WatchCache(
-    new HttpKeyValueStore(unreachable, 'state', limit, limit, 1_000),
-    LIVE,
+  const cache = new WatchCache({
+    store: new HttpKeyValueStore(unreachable, 'state', limit, limit, 1_000),
+    prefix: LIVE,
     clock,
-    1_000,
-    100,
-  );
+    waitMs: 1_000,
+    minWatchIntervalMs: 100,
+  });
   const warnings: string[] = [];
   const log = {
     error: () => undefined,
