--- a/src/bookkeeping/format-gate.ts
+++ b/src/bookkeeping/format-gate.ts
@@ -25,7 +25,7 @@
  * Decides when records that the previous version can't read may be written. Every controller leaves a durable mark of
  * the newest record format that it understands; the gate is open for a format once the marks of all controllers named in
  * the settings say that or a newer one. Marks are never deleted and no lease holds them, so an open gate stays open,
- * whoever restarts.
+ * whichever controllers restart.
  */
 export class FormatGate {
   readonly #openFor = new Set<number>();
