--- a/src/admission/epoch-writer.ts
+++ b/src/admission/epoch-writer.ts
@@ -26,7 +26,7 @@
   /** Changes that a transaction may have. */
   readonly changes: number;
   /** The condition that proves that this node leads; undefined when it doesn't. */
-  leadership(): Condition | undefined;
+  leaderCondition(): Condition | undefined;
   publish(event: ChangeEvent): void;
 }
 
@@ -52,7 +52,7 @@
     await clock.sleep(CHECK_MS, signal);
     if (signal.aborted || !cache.loaded) return;
     if (this.options) this.#growth.observe(countMachines(cache), clock.now());
-    const leadership = this.context.leadership();
+    const leadership = this.context.leaderCondition();
     if (!leadership) {
       this.#writtenAt = undefined;
       return;
--- a/src/coordination/controller-services.ts
+++ b/src/coordination/controller-services.ts
@@ -82,7 +82,10 @@
   const options = readSuspicionOptions(settings);
   if (!options) return undefined;
   const { node, others } = settings.platform;
-  return new Suspicion({ node, peers: others.map((other) => other.node), clock, cache, log }, options);
+  return new Suspicion(
+    { controllerId: node, peers: others.map((other) => other.node), clock, cache, log },
+    options,
+  );
 }
 
 function createJobTracking(
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -123,7 +123,7 @@
         progressOf: (id) => this.#progress.get(id),
         waitsForJobs: (id) => dependencies.graph.has(id) && !dependencies.isReady(id),
         teamLimit: (team) => teams.find(({ name }) => name === team)?.cpus_max ?? 0,
-        leadership: () => this.#leader.leadershipCondition(),
+        leaderCondition: () => this.#leader.leadershipCondition(),
       },
       admission,
     );
--- a/src/coordination/ownership/owner-candidates.ts
+++ b/src/coordination/ownership/owner-candidates.ts
@@ -1,7 +1,7 @@
 /** @file The controllers that could own a shard, as the records have them. */
 import { shardCount } from '../../bookkeeping/shard-count';
 import { KEY, PREFIX, read } from '../../bookkeeping/records';
-import type { Contender } from '../../suspicion/suspicion';
+import type { OwnerCandidate } from '../../suspicion/successor';
 import type { ControllerContext } from '../controller-context';
 
 /** The controllers that hold a session, the one that has held its own for longest first. */
@@ -27,9 +27,13 @@
 export function ownerCandidates(
   context: ControllerContext,
   shards: ReadonlyMap<string, number>,
-): Contender[] {
+): OwnerCandidate[] {
   const missing = context.formatGate.missing();
-  return [...shards].map(([node, count]) => ({ node, shards: count, isUpgraded: !missing.includes(node) }));
+  return [...shards].map(([controller, count]) => ({
+    controller,
+    shards: count,
+    isUpgraded: !missing.includes(controller),
+  }));
 }
 
 /**
@@ -46,5 +50,5 @@
   if (context.suspicion) return context.suspicion.rank(shard, candidates);
   return candidates
     .sort((a, b) => a.shards - b.shards || Number(b.isUpgraded) - Number(a.isUpgraded))
-    .map(({ node }) => node);
+    .map(({ controller }) => controller);
 }
--- a/src/suspicion/handover-trace.ts
+++ b/src/suspicion/handover-trace.ts
@@ -5,20 +5,20 @@
 
 const TRACER = 'ironstream.suspicion';
 
-/** The steps of taking a shard over, in their order. */
-export const TAKEOVER_STEPS = [
+/** The steps of acquiring a shard from another owner, in their order. */
+export const FAILOVER_STEPS = [
   'chosen',
   'acquired',
   'token drawn',
   'workers confirmed',
   'orphaned jobs placed',
 ] as const;
-/** The steps of giving a shard up in order. */
-export const GIVE_UP_STEPS = ['stopped', 'drained', 'successor named'] as const;
+/** The steps of handing a shard over by choice, in their order. */
+export const PLANNED_HANDOVER_STEPS = ['stopped', 'drained', 'successor named'] as const;
 /** A step of either side of a handover. */
-export type HandoverStep = (typeof TAKEOVER_STEPS)[number] | (typeof GIVE_UP_STEPS)[number];
+export type HandoverStep = (typeof FAILOVER_STEPS)[number] | (typeof PLANNED_HANDOVER_STEPS)[number];
 
-/** Steps after which there is nothing more to come. */
+/** The last step of either side. */
 const LAST_STEPS: readonly HandoverStep[] = ['orphaned jobs placed', 'successor named'];
 
 /** Follows one side of one handover. A step that is reached again, because it was repeated, is not logged again. */
@@ -35,12 +35,12 @@
     this.#span = trace.getTracer(TRACER).startSpan('handover', { attributes: { shard } });
   }
 
-  /** Whether every step is behind. */
+  /** Whether every step has been reached. */
   get isOver(): boolean {
     return LAST_STEPS.some((step) => this.#reached.has(step));
   }
 
-  /** A step is behind; `facts` go into its log line. */
+  /** A step was reached; `facts` go into its log line. */
   reached(step: HandoverStep, facts: Readonly<Record<string, number | string>> = {}): void {
     if (this.#reached.has(step) || this.isOver) return;
     this.#reached.add(step);
--- a/src/suspicion/heartbeat-intervals.ts
+++ b/src/suspicion/heartbeat-intervals.ts
@@ -4,14 +4,14 @@
 
 const RELATIVE_ACCURACY = 0.02;
 const MAX_BINS = 256;
-/** So many intervals make a generation: with one heartbeat a second, about four minutes. */
-const GENERATION = 256;
+/** Intervals in a generation: with one heartbeat a second, about four minutes. */
+const GENERATION_SIZE = 256;
 /** Fewer intervals than this say nothing about their distribution. */
-const LEAST_INTERVALS = 8;
+const MIN_INTERVALS = 8;
 /** Longer intervals count as this long: an outage says nothing about how regular heartbeats are. */
-const LONGEST_INTERVAL_MS = 5_000;
-const MEDIAN = 0.5;
-const TAIL = 0.95;
+const MAX_INTERVAL_MS = 5_000;
+const MEDIAN_QUANTILE = 0.5;
+const TAIL_QUANTILE = 0.95;
 /** How many standard deviations the tail's quantile lies above the median of a normal distribution. */
 const TAIL_DEVIATIONS = 1.645;
 
@@ -27,11 +27,11 @@
 
   /** Takes in an interval in milliseconds. */
   add(intervalMs: number): void {
-    if (this.#current.count >= GENERATION) {
+    if (this.#current.count >= GENERATION_SIZE) {
       this.#previous = this.#current;
       this.#current = newSketch();
     }
-    this.#current.accept(Math.min(Math.max(intervalMs, 1), LONGEST_INTERVAL_MS));
+    this.#current.accept(Math.min(Math.max(intervalMs, 1), MAX_INTERVAL_MS));
     this.#distribution = undefined;
   }
 
@@ -42,10 +42,10 @@
   }
 
   #estimate(): IntervalDistribution | undefined {
-    const sketch = this.#current.count >= LEAST_INTERVALS ? this.#current : this.#previous;
-    if (!sketch || sketch.count < LEAST_INTERVALS) return undefined;
-    const median = sketch.getValueAtQuantile(MEDIAN);
-    const tail = sketch.getValueAtQuantile(TAIL);
+    const sketch = this.#current.count >= MIN_INTERVALS ? this.#current : this.#previous;
+    if (!sketch || sketch.count < MIN_INTERVALS) return undefined;
+    const median = sketch.getValueAtQuantile(MEDIAN_QUANTILE);
+    const tail = sketch.getValueAtQuantile(TAIL_QUANTILE);
     return { meanMs: median, deviationMs: (tail - median) / TAIL_DEVIATIONS };
   }
 }
--- a/src/suspicion/move-limiter.ts
+++ b/src/suspicion/move-limiter.ts
@@ -1,13 +1,13 @@
 /** @file Damping: a bound on how many shards suspicion moves in a minute. */
 
 const WINDOW_MS = 60_000;
-/** A shard that moved is not given up again by choice for so long. */
+/** A shard that moved is not handed over again by choice for so long. */
 const SETTLING_MS = 15_000;
 
 /**
  * Counts the changes of owner that this controller sees in the records, whoever made them, so that a controller that
- * flaps does not swing shards about. What follows from the end of a lease is not bounded: a shard without an owner always
- * gets one.
+ * flaps does not move shards to and fro. What follows from the expiry of a lease is not bounded: a shard without an owner
+ * always gets one.
  */
 export class MoveLimiter {
   /** Steady times of the moves within the window. */
@@ -33,7 +33,7 @@
     return hasSettled && this.allowsAny(now);
   }
 
-  /** Whether suspicion may move any shard now: one that nobody holds needs no time to settle. */
+  /** Whether suspicion may move any shard now: one whose lease is free needs no time to settle. */
   allowsAny(now: number): boolean {
     return this.#moves.filter((at) => now - at < WINDOW_MS).length < this.movesPerMinute;
   }
--- a/src/suspicion/options.ts
+++ b/src/suspicion/options.ts
@@ -3,11 +3,11 @@
 import { SettingsError, type Settings } from '../base/settings';
 import { silenceFor } from './phi';
 
-/** Time between two heartbeats of a controller (the periodic `Progress` message), in milliseconds. */
+/** Time between two heartbeats of a controller (`PeerHeartbeat`), in milliseconds. */
 export const HEARTBEAT_MS = 1_000;
 const MS_PER_S = 1_000;
 /** A fixed timeout has to outlast one lost heartbeat. */
-const LEAST_TIMEOUT_S = 1.5;
+const MIN_TIMEOUT_S = 1.5;
 
 /** The table as it may stand in the options file; a file without it leaves suspicion off. */
 export const suspicionSchema = z.strictObject({
@@ -19,17 +19,17 @@
   /** The least standard deviation that heartbeat intervals are taken to have. */
   min_deviation_s: z.number().positive().max(5).default(0.2),
   /** Silence after which a peer is suspected while too few of its heartbeats are known, or with `fixed`. */
-  timeout_s: z.number().min(LEAST_TIMEOUT_S).max(60).default(2.5),
+  timeout_s: z.number().min(MIN_TIMEOUT_S).max(60).default(2.5),
   /** A pause of this process that counts as a stall. */
   stall_s: z.number().positive().max(60).default(1.5),
-  /** So many stalls within the window make a controller give its shards up. */
+  /** So many stalls within the window make a controller hand its shards over. */
   stalls: z.int().min(1).max(100).default(3),
   stall_window_s: z.number().positive().max(600).default(30),
-  /** A controller that most peers suspect for so long, though it hears them, gives its shards up. */
+  /** A controller that most peers suspect for so long, though it receives their heartbeats, hands its shards over. */
   give_up_after_s: z.number().positive().max(60).default(3),
   /** Shards that suspicion may move in a minute. */
   moves_per_minute: z.int().min(0).max(60).default(4),
-  /** A controller that returned gets no shard by choice for so long. */
+  /** A controller that returned is assigned no shard by choice for so long. */
   probation_s: z.number().min(0).max(600).default(10),
   /** Writes spans of handovers to the log. */
   trace: z.boolean().default(false),
@@ -38,7 +38,7 @@
 /** The checked table. */
 export type SuspicionTable = z.infer<typeof suspicionSchema>;
 
-/** What suspicion goes by. Times in milliseconds. */
+/** The settings as suspicion uses them. Times in milliseconds. */
 export interface SuspicionOptions {
   readonly detector: 'phi' | 'fixed';
   readonly phiThreshold: number;
@@ -89,13 +89,13 @@
 interface SuspicionTimes {
   /** From the last heartbeat to the suspicion. */
   readonly suspectedAfterMs: number;
-  /** From the last renewal to the end of the lease, which is the verdict. */
+  /** From the last renewal to the expiry of the lease, which is the verdict. */
   readonly verdictAfterMs: number;
 }
 
-/** What doesn't go together, with the key at fault; `shardLeaseS` is the lease that follows from the settings. */
+/** Settings that contradict each other, with the key at fault; `shardLeaseS` is the lease that follows from the settings. */
 function contradiction(table: SuspicionTable, shardLeaseS: number): string | undefined {
-  // The end of the lease is the verdict: a suspicion or a handover that comes after it says nothing.
+  // The expiry of the lease is the verdict: a suspicion or a handover that comes after it is of no use.
   const mustPrecedeVerdict = ['timeout_s', 'stall_s', 'give_up_after_s', 'min_deviation_s'] as const;
   const late = mustPrecedeVerdict.find((key) => table[key] >= shardLeaseS);
   if (late !== undefined) return `${late}: must be smaller than the block lease, ${shardLeaseS} s`;
--- a/src/suspicion/peer-detector.ts
+++ b/src/suspicion/peer-detector.ts
@@ -1,66 +1,71 @@
-/** @file The failure detector: turns heartbeats, silence and what other controllers heard into a status for each peer. */
+/** @file The failure detector: turns heartbeats, silence and the opinions of other controllers into a status for each peer. */
 import type { PeerOpinion, PeerView } from '../protocol/peer-view';
 import { HeartbeatIntervals } from './heartbeat-intervals';
 import { HEARTBEAT_MS, type SuspicionOptions } from './options';
-import { judgeSilence, observe, unknownPeer, type PeerObservation, type PeerRecord } from './peer-record';
+import { observe, unknownState, type PeerObservation, type PeerState } from './peer-state';
 import { RunningClock } from './running-clock';
+import { assessSilence } from './silence';
 
-/** Messages of a peer that come closer together belong to one heartbeat, or lay in a buffer together. */
+/** Messages of a peer that arrive closer together belong to one heartbeat, or waited in a buffer together. */
 const SAME_HEARTBEAT_MS = HEARTBEAT_MS / 10;
 /** A view counts for so many heartbeats of running time. */
 const VIEW_LIFETIME_MS = 3 * HEARTBEAT_MS;
 /**
- * What another controller heard counts for so long. By then it has told this one of the next heartbeat, if there was one:
- * both come once a second. What others merely were told doesn't count, so no hearsay goes round in a circle.
+ * A heartbeat that another controller received counts for so long. By then that controller has reported the next one, if
+ * there was one: both come once a second. What others merely know from others doesn't count, so that no hearsay goes round
+ * in a circle.
  */
-const HEARSAY_MS = 2.5 * HEARTBEAT_MS;
+const INDIRECT_HEARTBEAT_MS = 2.5 * HEARTBEAT_MS;
 
-/** A status changed. */
+/** The status of a peer changed. */
 export interface StatusChange {
-  readonly node: string;
-  readonly before: PeerRecord;
-  readonly after: PeerRecord;
+  readonly peer: string;
+  readonly before: PeerState;
+  readonly after: PeerState;
 }
 
 /** What is kept of one peer. */
-interface Peer {
-  record: PeerRecord;
+interface ObservedPeer {
+  readonly name: string;
+  state: PeerState;
   readonly intervals: HeartbeatIntervals;
   view: PeerView | undefined;
   /** Steady time of the latest heartbeat. */
-  heardAt: number | undefined;
+  lastHeartbeatAt: number | undefined;
 }
 
-/** What the records in the state service say of a peer's session. `unknown`: they are not loaded. */
+/** What the records in the key-value store say of a peer's session. `unknown`: they are not loaded. */
 export type SessionState = 'exists' | 'ended' | 'unknown';
 
+function newPeer(name: string, now: number): ObservedPeer {
+  return {
+    name,
+    state: unknownState(now),
+    intervals: new HeartbeatIntervals(),
+    view: undefined,
+    lastHeartbeatAt: undefined,
+  };
+}
+
 /**
  * Observes the peers that the settings name, and no others, so its memory is bounded. It only ever suspects: nothing that
- * it says entitles anybody to act. A verdict is the end of the peer's session in the state service, which it takes in as
- * `failed`.
+ * it says entitles a controller to act. A verdict is the end of the peer's session in the key-value store, which it takes
+ * in as `failed`.
  */
 export class PeerDetector {
-  readonly #peers: ReadonlyMap<string, Peer>;
+  readonly #peers: ReadonlyMap<string, ObservedPeer>;
   readonly #running: RunningClock;
+  /** The views that count, until a tick or a heartbeat may change which do. */
+  #currentViews: ReadonlyMap<string, PeerView> | undefined;
 
   constructor(
-    nodes: readonly string[],
+    peers: readonly string[],
     private readonly options: SuspicionOptions,
     startedAt: number,
     private readonly onChange: (change: StatusChange) => void,
   ) {
     this.#running = new RunningClock(startedAt);
-    this.#peers = new Map(
-      nodes.map((node) => [
-        node,
-        {
-          record: unknownPeer(startedAt),
-          intervals: new HeartbeatIntervals(),
-          view: undefined,
-          heardAt: undefined,
-        },
-      ]),
-    );
+    this.#peers = new Map(peers.map((name) => [name, newPeer(name, startedAt)]));
   }
 
   /** The clock of evidence; silence is measured in its time. */
@@ -69,123 +74,134 @@
   }
 
   /** Whether the settings name this peer. */
-  has(node: string): boolean {
-    return this.#peers.has(node);
+  has(name: string): boolean {
+    return this.#peers.has(name);
   }
 
   /** What is held of a peer. */
-  record(node: string): PeerRecord | undefined {
-    return this.#peers.get(node)?.record;
+  state(name: string): PeerState | undefined {
+    return this.#peers.get(name)?.state;
   }
 
-  /** The peer's latest view, unless it is too old to count. */
-  view(node: string): PeerView | undefined {
-    const peer = this.#peers.get(node);
-    const silentMs = peer && this.#silentMs(peer);
-    return silentMs !== undefined && silentMs <= VIEW_LIFETIME_MS ? peer?.view : undefined;
+  /** The views that count, by the peers that sent them: those that are not too old. */
+  get views(): ReadonlyMap<string, PeerView> {
+    this.#currentViews ??= this.#selectViews();
+    return this.#currentViews;
   }
 
-  /** The views that count, by the peers that sent them. */
-  get views(): ReadonlyMap<string, PeerView> {
+  #selectViews(): ReadonlyMap<string, PeerView> {
     const views = new Map<string, PeerView>();
-    for (const node of this.#peers.keys()) {
-      const view = this.view(node);
-      if (view) views.set(node, view);
+    for (const peer of this.#peers.values()) {
+      const silentMs = this.#silentMs(peer);
+      const isCurrent = silentMs !== undefined && silentMs <= VIEW_LIFETIME_MS;
+      if (isCurrent && peer.view) views.set(peer.name, peer.view);
     }
     return views;
   }
 
-  /** A heartbeat, with the sender's view where it sent one. */
-  onHeartbeat(node: string, view: PeerView | undefined, now: number): void {
-    const peer = this.#peers.get(node);
+  /** A heartbeat arrived, with the sender's view where it sent one. */
+  onHeartbeat(name: string, view: PeerView | undefined, now: number): void {
+    const peer = this.#peers.get(name);
     if (!peer) return;
     const intervalMs = this.#silentMs(peer);
     if (intervalMs !== undefined && intervalMs >= SAME_HEARTBEAT_MS) peer.intervals.add(intervalMs);
     peer.view = view ?? peer.view;
-    peer.heardAt = now;
-    const { run = 0, incarnation = 0 } = view ?? {};
-    const { runningMs } = this.#running;
-    this.#observe(node, peer, { kind: 'heartbeat', run, incarnation, runningMs }, now);
+    peer.lastHeartbeatAt = now;
+    const heartbeat: PeerObservation = {
+      kind: 'heartbeat',
+      sessionEpoch: view?.run ?? 0,
+      incarnation: view?.incarnation ?? 0,
+      runningMs: this.#running.runningMs,
+    };
+    this.#observe(peer, heartbeat, now);
+    this.#currentViews = undefined;
   }
 
   /** Looks at all peers at a steady time; `sessionOf` tells what the records say. To be called every `TICK_MS`. */
-  tick(now: number, sessionOf: (node: string) => SessionState): void {
+  tick(now: number, sessionOf: (name: string) => SessionState): void {
     this.#running.tick(now);
-    for (const [node, peer] of this.#peers) {
-      const session = sessionOf(node);
-      if (session === 'ended') this.#observe(node, peer, { kind: 'session ended' }, now);
-      if (session === 'exists') this.#observe(node, peer, { kind: 'session exists' }, now);
-      this.#judge(node, peer, now);
-      this.#observe(node, peer, { kind: 'time' }, now);
+    this.#currentViews = undefined;
+    for (const peer of this.#peers.values()) {
+      const session = sessionOf(peer.name);
+      if (session === 'ended') this.#observe(peer, { kind: 'session ended' }, now);
+      if (session === 'exists') this.#observe(peer, { kind: 'session exists' }, now);
+      this.#reviewSilence(peer, now);
+      this.#observe(peer, { kind: 'time' }, now);
     }
   }
 
-  /** Whether this controller itself does not hear the peer. */
-  isSilent(node: string): boolean {
-    const peer = this.#peers.get(node);
+  /** Whether this controller itself receives no heartbeats of the peer. */
+  isSilent(name: string): boolean {
+    const peer = this.#peers.get(name);
     return !peer || this.#isSilent(peer);
   }
 
-  /** How long the peer has been silent in running time, and how suspicious that is. */
-  silence(node: string): { silentMs: number | undefined; phi: number | undefined } {
-    const peer = this.#peers.get(node);
+  /** How suspicious the peer's present silence is; undefined where no estimate is made. */
+  phi(name: string): number | undefined {
+    const peer = this.#peers.get(name);
     const silentMs = peer && this.#silentMs(peer);
-    if (!peer || silentMs === undefined) return { silentMs: undefined, phi: undefined };
-    return { silentMs, phi: judgeSilence(silentMs, peer.intervals.distribution, this.options).phi };
+    if (!peer || silentMs === undefined) return undefined;
+    return assessSilence(silentMs, peer.intervals.distribution, this.options).phi;
+  }
+
+  /** How long ago this controller received the peer's last heartbeat; undefined: it never did. */
+  lastHeartbeatMsAgo(name: string, now: number): number | undefined {
+    const at = this.#peers.get(name)?.lastHeartbeatAt;
+    return at === undefined ? undefined : now - at;
   }
 
   /** What this controller holds of its peers, for the others. */
   opinions(now: number): PeerOpinion[] {
-    return [...this.#peers].map(([node, { record, heardAt }]) => ({
-      node,
-      status: record.status,
-      reason: record.reason,
-      forMs: now - record.since,
-      run: record.run,
-      incarnation: record.incarnation,
-      heardMsAgo: heardAt === undefined ? undefined : now - heardAt,
+    return [...this.#peers.values()].map(({ name, state }) => ({
+      node: name,
+      status: state.status,
+      reason: state.reason,
+      forMs: now - state.since,
+      run: state.sessionEpoch,
+      incarnation: state.incarnation,
+      heardMsAgo: this.lastHeartbeatMsAgo(name, now),
     }));
   }
 
-  #silentMs({ record }: Peer): number | undefined {
-    return record.heardAtRunningMs === undefined
+  #silentMs({ state }: ObservedPeer): number | undefined {
+    return state.lastHeartbeatRunningMs === undefined
       ? undefined
-      : this.#running.runningMs - record.heardAtRunningMs;
+      : this.#running.runningMs - state.lastHeartbeatRunningMs;
   }
 
-  #isSilent(peer: Peer): boolean {
+  #isSilent(peer: ObservedPeer): boolean {
     const silentMs = this.#silentMs(peer);
-    return (
-      silentMs === undefined || judgeSilence(silentMs, peer.intervals.distribution, this.options).isSuspicious
-    );
-  }
-
-  /** A silence is suspicious unless another controller heard the peer meanwhile: then only the link to it is cut. */
-  #judge(node: string, peer: Peer, now: number): void {
-    if (!this.#isSilent(peer) || peer.record.status === 'unknown') return;
-    const incarnation = this.#heardByOthers(node, peer.record, now);
-    if (incarnation === undefined) this.#observe(node, peer, { kind: 'silence' }, now);
-    else this.#observe(node, peer, { kind: 'heard by others', incarnation }, now);
-  }
-
-  /** The newest incarnation in which another controller heard the peer a moment ago; undefined when none did. */
-  #heardByOthers(node: string, { run }: PeerRecord, now: number): number | undefined {
-    const heard = [...this.#peers]
-      .filter(([from]) => from !== node)
-      .flatMap(([, { view, heardAt = -Infinity }]) =>
-        view && !view.isStalled
-          ? view.opinions.map((opinion) => ({ opinion, viewAgeMs: now - heardAt }))
-          : [],
-      )
-      .filter(({ opinion }) => opinion.node === node && opinion.run >= run)
-      .filter(({ opinion, viewAgeMs }) => (opinion.heardMsAgo ?? Infinity) + viewAgeMs <= HEARSAY_MS);
-    return heard.length === 0 ? undefined : Math.max(...heard.map(({ opinion }) => opinion.incarnation));
-  }
-
-  #observe(node: string, peer: Peer, observation: PeerObservation, now: number): void {
-    const before = peer.record;
+    if (silentMs === undefined) return true;
+    return assessSilence(silentMs, peer.intervals.distribution, this.options).isSuspicious;
+  }
+
+  /** A silence is suspicious unless another controller received a heartbeat meanwhile: then only the link here is cut. */
+  #reviewSilence(peer: ObservedPeer, now: number): void {
+    if (!this.#isSilent(peer) || peer.state.status === 'unknown') return;
+    const incarnation = this.#incarnationSeenByOthers(peer, now);
+    if (incarnation === undefined) this.#observe(peer, { kind: 'silence' }, now);
+    else this.#observe(peer, { kind: 'indirect heartbeat', incarnation }, now);
+  }
+
+  /** The newest incarnation of which another controller received a heartbeat a moment ago; undefined when none did. */
+  #incarnationSeenByOthers({ name, state }: ObservedPeer, now: number): number | undefined {
+    let newest: number | undefined;
+    for (const observer of this.#peers.values()) {
+      if (observer.name === name || !observer.view || observer.view.isStalled) continue;
+      const viewAgeMs = now - (observer.lastHeartbeatAt ?? -Infinity);
+      for (const { node, run, incarnation, heardMsAgo = Infinity } of observer.view.opinions) {
+        if (node !== name || run < state.sessionEpoch) continue;
+        if (heardMsAgo + viewAgeMs > INDIRECT_HEARTBEAT_MS) continue;
+        newest = Math.max(newest ?? incarnation, incarnation);
+      }
+    }
+    return newest;
+  }
+
+  #observe(peer: ObservedPeer, observation: PeerObservation, now: number): void {
+    const before = peer.state;
     const after = observe(before, observation, this.options, now);
-    peer.record = after;
-    if (after.status !== before.status) this.onChange({ node, before, after });
+    peer.state = after;
+    if (after.status !== before.status) this.onChange({ peer: peer.name, before, after });
   }
 }
--- a/src/suspicion/peer-reachability.ts
+++ b/src/suspicion/peer-reachability.ts
@@ -1,52 +1,52 @@
-/** @file Which peers, and which of their workers, this node takes for reachable. */
+/** @file Which peers, and which of their workers, this controller takes for reachable. */
 import type { Clock } from '../base/clock';
 import type { PeerHeartbeat } from '../protocol/peers';
 import type { PeerLiveness } from './peer-liveness';
 
-/** How long a peer's message, or a report that was redirected, counts. */
-const MEMORY_MS = 6_000;
-/** An owner that receives nothing from this share of its workers, while another node does, hands over its shard. */
+/** How long a redirected heartbeat of a worker counts. */
+const REDIRECT_MEMORY_MS = 6_000;
+/** An owner that receives nothing from this share of its workers, while a peer does, hands over its shard. */
 const UNREACHABLE_SHARE = 0.7;
-/** Fewer machines than this say nothing about the node. */
+/** Fewer machines than this say nothing about the controller. */
 const MIN_UNREACHABLE = 3;
 
 /**
- * Which node reaches which workers, as far as the nodes tell each other. A node may be unreachable for its workers
- * alone, or for everybody. Its workers then report to its peers, and must not be redirected to it while they can't reach
- * it: their leases would run out.
+ * Which controller reaches which workers, as far as the controllers tell each other. A controller may be unreachable for
+ * its workers alone, or for all. Its workers then send their heartbeats to its peers, and must not be redirected to it
+ * while they can't reach it: their leases would expire.
  */
 export class PeerReachability {
-  readonly #peers = new Map<string, PeerHeartbeat>();
+  readonly #heartbeats = new Map<string, PeerHeartbeat>();
   readonly #redirected = new Map<string, { shard: number; at: number }>();
   #heardAt = -Infinity;
   #freshPeerAt = -Infinity;
 
   constructor(
     private readonly clock: Clock,
-    /** Whether a peer is heard at all. */
+    /** Whether a peer's heartbeats arrive at all. */
     private readonly liveness: PeerLiveness,
   ) {}
 
-  /** A machine reported here although another node owns its shard. */
+  /** A machine sent its heartbeat to this controller although a peer owns its shard. */
   recordRedirect(machine: string, shard: number): void {
     this.#redirected.set(machine, { shard, at: this.clock.now() });
   }
 
-  /** Takes in a peer's periodic message. */
+  /** Takes in a peer's heartbeat. */
   onHeartbeat(heartbeat: PeerHeartbeat): void {
     const now = this.clock.now();
     this.#heardAt = now;
     if (heartbeat.isViewFresh) this.#freshPeerAt = now;
-    this.#peers.set(heartbeat.from, heartbeat);
+    this.#heartbeats.set(heartbeat.from, heartbeat);
     this.liveness.onHeartbeat(heartbeat);
   }
 
-  /** Steady time of the latest periodic message of any peer. */
+  /** Steady time of the latest heartbeat of any peer. */
   get heardAt(): number {
     return this.#heardAt;
   }
 
-  /** Steady time of the latest message of a peer whose view of the state service was fresh. */
+  /** Steady time of the latest heartbeat of a peer whose view of the key-value store was fresh. */
   get freshPeerAt(): number {
     return this.#freshPeerAt;
   }
@@ -56,7 +56,7 @@
     const now = this.clock.now();
     const counts = new Map<number, number>();
     for (const [machine, { shard, at }] of this.#redirected) {
-      if (now - at > MEMORY_MS) this.#redirected.delete(machine);
+      if (now - at > REDIRECT_MEMORY_MS) this.#redirected.delete(machine);
       else counts.set(shard, (counts.get(shard) ?? 0) + 1);
     }
     return [...counts].map(([shard, machines]) => ({ shard, machines }));
@@ -64,30 +64,30 @@
 
   /** Whether a worker may be redirected to the owner of its shard. */
   reaches(owner: string, shard: number): boolean {
-    const heartbeat = this.#peers.get(owner);
+    const heartbeat = this.#heartbeats.get(owner);
     if (!heartbeat || this.liveness.isSilent(owner)) return false;
     return !heartbeat.unreachableShards.includes(shard);
   }
 
   /**
-   * The node to hand a shard of ours over to, because its workers reach that node and not this one; undefined when no
-   * node qualifies.
+   * The peer to hand an owned shard over to, because its workers reach that peer and not this controller; undefined when
+   * no peer qualifies.
    */
   successor(shard: number, machines: number, unreachable: number): string | undefined {
     if (!areMostUnreachable(machines, unreachable)) return undefined;
-    let best: { node: string; heard: number } | undefined;
-    let heard = 0;
-    for (const [node, heartbeat] of this.#peers) {
-      if (this.liveness.isSilent(node) || !heartbeat.isViewFresh) continue;
-      const here = heartbeat.redirected.find((t) => t.shard === shard)?.machines ?? 0;
-      heard += here;
-      if (here > (best?.heard ?? 0)) best = { node, heard: here };
+    let best: { peer: string; reached: number } | undefined;
+    let reachedByAll = 0;
+    for (const [peer, heartbeat] of this.#heartbeats) {
+      if (this.liveness.isSilent(peer) || !heartbeat.isViewFresh) continue;
+      const reached = heartbeat.redirected.find((entry) => entry.shard === shard)?.machines ?? 0;
+      reachedByAll += reached;
+      if (reached > (best?.reached ?? 0)) best = { peer, reached };
     }
-    return heard >= machines / 2 ? best?.node : undefined;
+    return reachedByAll >= machines / 2 ? best?.peer : undefined;
   }
 }
 
-/** Whether so many machines without a report mean that this node itself is the one that is unreachable. */
+/** Whether so many machines without a heartbeat mean that this controller itself is the one that is unreachable. */
 export function areMostUnreachable(machines: number, unreachable: number): boolean {
   return unreachable >= MIN_UNREACHABLE && unreachable >= machines * UNREACHABLE_SHARE;
 }
--- a/src/suspicion/peers-report.ts
+++ b/src/suspicion/peers-report.ts
@@ -1,5 +1,6 @@
 /** @file What a controller and its peers hold of each other, as operators are shown it. */
-import type { PeerReason, PeerStatus, PeerView } from '../protocol/peer-view';
+import type { PeerOpinion, PeerReason, PeerStatus, PeerView } from '../protocol/peer-view';
+import type { RejectionCounts } from './rejected-messages';
 
 /** What one controller holds of another. Times in milliseconds. */
 export interface PeerRow {
@@ -26,51 +27,50 @@
   readonly stalls: number;
   /** For how long most peers have suspected this controller; null: they don't. */
   readonly suspectedForMs: number | null;
-  /** Messages of peers that were dropped, by reason. */
-  readonly rejected: Readonly<Record<string, number>>;
+  /** Messages of peers that were rejected, by reason. */
+  readonly rejected: RejectionCounts;
   readonly rows: readonly PeerRow[];
 }
 
 /** What a report is made of. */
 export interface PeersReportFacts {
-  readonly node: string;
+  readonly controllerId: string;
   readonly view: PeerView;
   /** The views of peers that count, by their senders. */
   readonly views: ReadonlyMap<string, PeerView>;
-  silenceOf(peer: string): { phi: number | undefined };
+  /** The accrual estimate of a peer's silence; undefined where none is made. */
+  phiOf(peer: string): number | undefined;
   readonly stalls: number;
   readonly suspectedForMs: number | undefined;
-  readonly rejected: Readonly<Record<string, number>>;
+  readonly rejected: RejectionCounts;
 }
 
 const PHI_DIGITS = 2;
 
-function rowsOf(from: string, view: PeerView, phiOf: (peer: string) => number | undefined): PeerRow[] {
-  return view.opinions.map(({ node, status, reason, forMs, heardMsAgo, run, incarnation }) => {
-    const phi = phiOf(node);
-    return {
-      from,
-      peer: node,
-      status,
-      reason,
-      forMs: Math.round(forMs),
-      heardMsAgo: heardMsAgo === undefined ? null : Math.round(heardMsAgo),
-      run,
-      incarnation,
-      phi: phi === undefined ? null : Number(phi.toFixed(PHI_DIGITS)),
-    };
-  });
+function rowOf(from: string, opinion: PeerOpinion, phi: number | undefined): PeerRow {
+  const { node, status, reason, forMs, heardMsAgo, run, incarnation } = opinion;
+  return {
+    from,
+    peer: node,
+    status,
+    reason,
+    forMs: Math.round(forMs),
+    heardMsAgo: heardMsAgo === undefined ? null : Math.round(heardMsAgo),
+    run,
+    incarnation,
+    phi: phi === undefined ? null : Number(phi.toFixed(PHI_DIGITS)),
+  };
 }
 
 /** Puts the report together: the opinions of this controller first, then those of its peers by their names. */
 export function peersReport(facts: PeersReportFacts): PeersReport {
-  const { node, view, views } = facts;
-  const own = rowsOf(node, view, (peer) => facts.silenceOf(peer).phi);
+  const { controllerId, view, views } = facts;
+  const own = view.opinions.map((opinion) => rowOf(controllerId, opinion, facts.phiOf(opinion.node)));
   const others = [...views]
     .sort(([a], [b]) => a.localeCompare(b))
-    .flatMap(([from, theirs]) => rowsOf(from, theirs, () => undefined));
+    .flatMap(([from, { opinions }]) => opinions.map((opinion) => rowOf(from, opinion, undefined)));
   return {
-    node,
+    node: controllerId,
     run: view.run,
     incarnation: view.incarnation,
     isStalled: view.isStalled,
--- a/src/suspicion/running-clock.ts
+++ b/src/suspicion/running-clock.ts
@@ -2,10 +2,10 @@
 
 /** How often the process notes that it runs, in milliseconds. */
 export const TICK_MS = 200;
-/** A tick that comes later than this after the one before counts for no more. */
-const MOST_PER_TICK_MS = 1.5 * TICK_MS;
+/** A tick adds at most this much running time, however long ago the one before was. */
+const MAX_PER_TICK_MS = 1.5 * TICK_MS;
 /** How many pauses are remembered. */
-const REMEMBERED_PAUSES = 64;
+const MAX_PAUSES = 64;
 
 /** A time during which the process did not run. Steady times in milliseconds. */
 export interface Pause {
@@ -14,8 +14,8 @@
 }
 
 /**
- * Running time goes on only while the process runs: time in which it did not is no evidence against anybody, since what
- * its peers sent meanwhile could not be read. A process that wakes after eight seconds has aged by one tick, and one
+ * Running time goes on only while the process runs: time in which it did not is no evidence against a peer, since what
+ * the peer sent meanwhile could not be read. A process that wakes after eight seconds has aged by one tick, and one
  * whose event loop is slow ages slowly, so it takes longer to suspect others (Lifeguard's local health, without a
  * multiplier to be set).
  */
@@ -31,10 +31,10 @@
   /** Notes that the process runs at this steady time. */
   tick(now: number): void {
     const elapsedMs = now - this.#lastTickAt;
-    this.#runningMs += Math.min(elapsedMs, MOST_PER_TICK_MS);
-    if (elapsedMs > MOST_PER_TICK_MS) {
+    this.#runningMs += Math.min(elapsedMs, MAX_PER_TICK_MS);
+    if (elapsedMs > MAX_PER_TICK_MS) {
       this.#pauses.push({ from: this.#lastTickAt + TICK_MS, to: now });
-      this.#pauses = this.#pauses.slice(-REMEMBERED_PAUSES);
+      this.#pauses = this.#pauses.slice(-MAX_PAUSES);
     }
     this.#lastTickAt = now;
   }
--- a/src/suspicion/suspicion.ts
+++ b/src/suspicion/suspicion.ts
@@ -1,4 +1,4 @@
-/** @file Suspicion of failed controllers: the part of a node that observes its peers and itself, and tells the others. */
+/** @file Suspicion of failed controllers: how a controller observes its peers and itself, and what follows from it. */
 import type { Clock } from '../base/clock';
 import type { Log } from '../base/log';
 import { KEY, PREFIX, read } from '../bookkeeping/records';
@@ -6,21 +6,22 @@
 import type { PeerView } from '../protocol/peer-view';
 import type { PeerHeartbeat } from '../protocol/peers';
 import type { ChangeEvent } from '../protocol/key-value-store';
-import { isStalled, isSuspectedByMost, whyGiveUp, type GiveUpReason } from './give-up';
+import { isSuspectedByMajority } from './majority-suspicion';
 import { MoveLimiter } from './move-limiter';
 import type { SuspicionOptions } from './options';
 import { PeerDetector, type SessionState, type StatusChange } from './peer-detector';
 import type { PeerLiveness } from './peer-liveness';
-import { isSuspect } from './peer-record';
+import { isSuspect } from './peer-state';
 import { peersReport, type PeersReport } from './peers-report';
-import { RejectedMessages, type RejectionReason } from './rejected-messages';
+import { isStalled, plannedHandoverReason, type PlannedHandoverReason } from './planned-handover';
+import { RejectedMessages, rejectionReason } from './rejected-messages';
 import { TICK_MS, type Pause } from './running-clock';
-import { rankCandidates, type Candidate } from './successor';
+import { rankCandidates, type OwnerCandidate } from './successor';
 
 /** What suspicion works on. */
 export interface SuspicionContext {
   /** This controller. */
-  readonly node: string;
+  readonly controllerId: string;
   /** The other controllers, as the settings name them. */
   readonly peers: readonly string[];
   readonly clock: Clock;
@@ -31,25 +32,25 @@
 /** A shard that is to be handed over, and to whom. */
 export interface PlannedHandover {
   readonly successor: string;
-  readonly reason: GiveUpReason;
+  readonly reason: PlannedHandoverReason;
 }
 
-/** A controller that may own shards, before suspicion has its say. */
-export type Contender = Pick<Candidate, 'node' | 'shards' | 'isUpgraded'>;
-
 /**
- * Observes peers and this process, exchanges views with the peers, and ranks controllers. It entitles nobody to act: the
- * right to act stays with lease and fencing token, and the verdict over a peer is the end of its session. All that
- * follows from it is reversible.
+ * Observes peers and this process, exchanges views with the peers, and ranks controllers. It entitles no controller to
+ * act: the right to act stays with lease and fencing token, and the verdict over a peer is the end of its session. All
+ * that follows from it is reversible.
  */
 export class Suspicion implements PeerLiveness {
   readonly #detector: PeerDetector;
   readonly #rejected: RejectedMessages;
   readonly #moves: MoveLimiter;
-  /** The peers whose view of the state service was fresh when they spoke last. */
-  readonly #fresh = new Set<string>();
-  #run = 0;
+  /** The peers whose view of the key-value store was fresh when they sent their last heartbeat. */
+  readonly #peersWithFreshView = new Set<string>();
+  /** The session of this controller: the revision at which its record was written; 0 before the first. */
+  #sessionEpoch = 0;
+  /** Raised within a session to refute a suspicion. */
   #incarnation = 0;
+  /** Since when most peers have suspected this controller. */
   #suspectedSince: number | undefined;
 
   constructor(
@@ -69,91 +70,83 @@
 
   /** One look at the peers and at this process; to be run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
-    const { clock, cache, node, peers } = this.context;
+    const { clock, cache, controllerId } = this.context;
     await clock.sleep(TICK_MS, signal);
     const now = clock.now();
-    this.#run = Math.max(this.#run, cache.version(KEY.controller(node)));
+    this.#sessionEpoch = Math.max(this.#sessionEpoch, cache.version(KEY.controller(controllerId)));
     this.#detector.tick(now, (peer) => this.#sessionOf(peer));
-    const isSuspected = isSuspectedByMost({ node, run: this.#run }, this.#detector.views, peers.length);
+    const isSuspected = this.#isSuspectedByMajority(controllerId);
     this.#suspectedSince = isSuspected ? (this.#suspectedSince ?? now) : undefined;
   }
 
-  /** Whether a peer's message is to be taken in. Drops, counts and logs once what can't be right. */
-  accepts({ from, view, isViewMalformed = false }: PeerHeartbeat): boolean {
-    const reason = this.#whyRejected(from, view, isViewMalformed);
-    if (reason !== undefined) this.#rejected.add(reason, from);
+  /** Whether a peer's heartbeat is to be taken in. One that can't be right is counted, and logged once. */
+  accepts(heartbeat: PeerHeartbeat): boolean {
+    const reason = rejectionReason(heartbeat, this.context.controllerId, this.#detector);
+    if (reason !== undefined) this.#rejected.add(reason, heartbeat.from);
     return reason === undefined;
   }
 
-  #whyRejected(
-    from: string,
-    view: PeerView | undefined,
-    isViewMalformed: boolean,
-  ): RejectionReason | undefined {
-    const record = this.#detector.record(from);
-    if (!record || view?.opinions.some(({ node }) => !this.#isKnown(node))) return 'unknown node';
-    if (isViewMalformed) return 'malformed view';
-    if (!view || view.run === 0) return undefined;
-    if (view.run < record.run) return 'earlier run';
-    if (view.run === record.run && view.incarnation < record.incarnation) return 'earlier incarnation';
-    return undefined;
-  }
-
-  #isKnown(node: string): boolean {
-    return node === this.context.node || this.#detector.has(node);
-  }
-
-  /** Takes in a periodic message that was accepted. */
+  /** Takes in a heartbeat that was accepted. */
   onHeartbeat({ from, isViewFresh, view }: PeerHeartbeat): void {
     this.#detector.onHeartbeat(from, view, this.context.clock.now());
-    if (isViewFresh) this.#fresh.add(from);
-    else this.#fresh.delete(from);
-    for (const opinion of view?.opinions ?? []) {
-      const isAboutThis = opinion.node === this.context.node && opinion.run >= this.#run;
-      if (!isAboutThis || opinion.status !== 'suspected') continue;
-      // Raised above what is suspected, and told with the next message: a refutation.
-      this.#incarnation = Math.max(this.#incarnation, opinion.incarnation + 1);
+    if (isViewFresh) this.#peersWithFreshView.add(from);
+    else this.#peersWithFreshView.delete(from);
+    if (view) this.#refute(view);
+  }
+
+  /** Raises the incarnation above one that is suspected; the next heartbeat carries it. */
+  #refute({ opinions }: PeerView): void {
+    for (const { node, run, status, incarnation } of opinions) {
+      const isAboutThis = node === this.context.controllerId && run >= this.#sessionEpoch;
+      if (!isAboutThis || status !== 'suspected') continue;
+      this.#incarnation = Math.max(this.#incarnation, incarnation + 1);
     }
   }
 
-  isSilent(node: string): boolean {
-    return this.#detector.isSilent(node);
+  isSilent(peer: string): boolean {
+    return this.#detector.isSilent(peer);
   }
 
   /** What this controller tells its peers. */
   view(): PeerView {
-    const { clock } = this.context;
-    const opinions = this.#detector.opinions(clock.now());
-    return { run: this.#run, incarnation: this.#incarnation, isStalled: this.#isStalled(), opinions };
-  }
-
-  /** The contenders in the order in which they are to own a shard; computed alike by all that hold the same views. */
-  rank(shard: number, contenders: readonly Contender[]): string[] {
-    const candidates = contenders.map((contender) => ({
-      ...contender,
-      isSuspect: this.isSuspect(contender.node),
-      wasHolder: contender.node === this.#holderOf(shard),
-      isOnProbation: this.#detector.record(contender.node)?.status === 'returned',
+    return {
+      run: this.#sessionEpoch,
+      incarnation: this.#incarnation,
+      isStalled: this.#isStalled(),
+      opinions: this.#detector.opinions(this.context.clock.now()),
+    };
+  }
+
+  /** The candidates in the order in which they are to own a shard; computed alike by all that hold the same views. */
+  rank(shard: number, candidates: readonly OwnerCandidate[]): string[] {
+    const lastOwner = this.#lastOwnerOf(shard);
+    const assessed = candidates.map((candidate) => ({
+      ...candidate,
+      isSuspect: this.isSuspect(candidate.controller),
+      wasLastOwner: candidate.controller === lastOwner,
+      isOnProbation: this.#detector.state(candidate.controller)?.status === 'returned',
     }));
-    return rankCandidates(shard, candidates).map(({ node }) => node);
+    return rankCandidates(shard, assessed).map(({ controller }) => controller);
   }
 
-  /** Whether a controller, this one included, is to be given nothing by choice. */
-  isSuspect(node: string): boolean {
-    const run = node === this.context.node ? this.#run : (this.#detector.record(node)?.run ?? 0);
-    const views = this.#detector.views;
-    if (node === this.context.node) {
-      return this.#isStalled() || isSuspectedByMost({ node, run }, views, this.context.peers.length);
-    }
-    const status = this.#detector.record(node)?.status ?? 'unknown';
-    return (
-      isSuspect(status) ||
-      views.get(node)?.isStalled === true ||
-      isSuspectedByMost({ node, run }, views, this.context.peers.length)
-    );
+  /** Whether a controller, this one included, is to be assigned nothing by choice. */
+  isSuspect(controller: string): boolean {
+    if (this.#isSuspectedByMajority(controller)) return true;
+    if (controller === this.context.controllerId) return this.#isStalled();
+    const status = this.#detector.state(controller)?.status ?? 'unknown';
+    return isSuspect(status) || this.#detector.views.get(controller)?.isStalled === true;
+  }
+
+  #isSuspectedByMajority(controller: string): boolean {
+    const { controllerId, peers } = this.context;
+    const sessionEpoch =
+      controller === controllerId
+        ? this.#sessionEpoch
+        : (this.#detector.state(controller)?.sessionEpoch ?? 0);
+    return isSuspectedByMajority({ controller, sessionEpoch }, this.#detector.views, peers.length);
   }
 
-  /** Whether damping allows a shard that nobody holds to be given to another than was chosen. */
+  /** Whether damping allows a shard whose lease is free to be assigned to another controller than was chosen. */
   mayChooseAgain(): boolean {
     return this.#moves.allowsAny(this.context.clock.now());
   }
@@ -165,51 +158,47 @@
 
   /**
    * To whom this controller should hand a shard over because it is slow itself; undefined: it should keep it. Only to a
-   * peer that was heard since the last stall and can itself reach the state service: where all are slow, nobody is better.
+   * peer that sent a heartbeat since the last stall and can itself reach the key-value store: where all are slow, no
+   * controller is better.
    */
-  plannedHandover(shard: number, contenders: readonly Contender[]): PlannedHandover | undefined {
-    const { clock, node } = this.context;
-    const now = clock.now();
-    const facts = { node, stalls: this.#stalls(), suspectedSince: this.#suspectedSince };
-    const reason = whyGiveUp(facts, this.options, now);
+  plannedHandover(shard: number, candidates: readonly OwnerCandidate[]): PlannedHandover | undefined {
+    const self = { stalls: this.#stalls(), suspectedSince: this.#suspectedSince };
+    const reason = plannedHandoverReason(self, this.options, this.context.clock.now());
     if (reason === undefined || !this.mayMove(shard)) return undefined;
-    const fit = contenders.filter((contender) => this.#isFit(contender.node));
+    const fit = candidates.filter(({ controller }) => this.#isFit(controller));
     const [successor] = this.rank(shard, fit);
     return successor === undefined ? undefined : { successor, reason };
   }
 
-  #holderOf(shard: number): string | undefined {
+  #lastOwnerOf(shard: number): string | undefined {
     return read.shard(this.context.cache.get(KEY.shard(shard))?.value)?.holder;
   }
 
+  /** Whether a peer is in a state to own a shard that this controller hands over. */
   #isFit(peer: string): boolean {
-    if (peer === this.context.node || this.isSuspect(peer) || this.isSilent(peer)) return false;
+    if (peer === this.context.controllerId || this.isSuspect(peer) || this.isSilent(peer)) return false;
+    if (!this.#peersWithFreshView.has(peer) || !this.#detector.views.has(peer)) return false;
+    const now = this.context.clock.now();
     const lastStall = this.#stalls().at(-1);
-    const heardMsAgo = this.#detector
-      .opinions(this.context.clock.now())
-      .find(({ node }) => node === peer)?.heardMsAgo;
-    const sinceStallMs = lastStall === undefined ? Infinity : this.context.clock.now() - lastStall.to;
-    return (
-      this.#fresh.has(peer) &&
-      this.#detector.view(peer) !== undefined &&
-      (heardMsAgo ?? Infinity) < sinceStallMs
-    );
+    const sinceStallMs = lastStall === undefined ? Infinity : now - lastStall.to;
+    return (this.#detector.lastHeartbeatMsAgo(peer, now) ?? Infinity) < sinceStallMs;
   }
 
   /** What this controller and its peers hold of each other, for operators. */
   report(): PeersReport {
-    const { node, clock } = this.context;
+    const { controllerId, clock } = this.context;
     return peersReport({
-      node,
+      controllerId,
       view: this.view(),
       views: this.#detector.views,
-      silenceOf: (peer) => this.#detector.silence(peer),
+      phiOf: (peer) => this.#detector.phi(peer),
       stalls: this.#stalls().length,
       suspectedForMs: this.#suspectedSince === undefined ? undefined : clock.now() - this.#suspectedSince,
       rejected: this.#rejected.counts,
     });
   }
 
+  /** The pauses of this process that count as stalls, within the window. */
   #stalls(): Pause[] {
     const { stallWindowMs, stallMs } = this.options;
     return this.#detector.running.pausesSince(this.context.clock.now() - stallWindowMs, stallMs);
@@ -225,17 +214,17 @@
     return cache.get(KEY.controller(peer)) === undefined ? 'ended' : 'exists';
   }
 
-  #onRecord({ key, ...event }: ChangeEvent): void {
-    if (event.deleted || !key.startsWith(PREFIX.shard)) return;
-    const record = read.shard(event.value);
+  #onRecord({ key, value, deleted }: ChangeEvent): void {
+    if (deleted || !key.startsWith(PREFIX.shard)) return;
+    const record = read.shard(value);
     const shard = Number(key.slice(PREFIX.shard.length));
     if (record) this.#moves.onOwner(shard, record.owner, this.context.clock.now());
   }
 
-  #logChange({ node, before, after }: StatusChange): void {
-    const { status, reason, run, incarnation } = after;
+  #logChange({ peer, before, after }: StatusChange): void {
+    const { status, reason, sessionEpoch, incarnation } = after;
     this.context.log.info(
-      { peer: node, before: before.status, status, reason, run, incarnation },
+      { peer, before: before.status, status, reason, run: sessionEpoch, incarnation },
       'status of a peer changed',
     );
   }
--- a/test/load/detectors.ts
+++ b/test/load/detectors.ts
@@ -113,8 +113,8 @@
       peers,
       { ...DEFAULT_OPTIONS, detector: variant.detector },
       0,
-      ({ node, after }) => {
-        if (after.status === 'suspected' && !isStopped[Number(node)]) tally.falseSuspicions += 1;
+      ({ peer, after }) => {
+        if (after.status === 'suspected' && !isStopped[Number(peer)]) tally.falseSuspicions += 1;
       },
     );
   });
@@ -155,7 +155,7 @@
   /** Counts what most controllers hold of one. */
   const judge = (index: number): void => {
     const voters = names.map(Number).filter((voter) => voter !== index && !isStopped[voter]);
-    const against = voters.filter((voter) => observers[voter]?.record(String(index))?.status === 'suspected');
+    const against = voters.filter((voter) => observers[voter]?.state(String(index))?.status === 'suspected');
     const isSuspected = against.length * 2 > voters.length;
     if (!isSuspected) mostSince[index] = undefined;
     else if (mostSince[index] === undefined) {
--- a/test/suspicion-consequences.test.ts
+++ b/test/suspicion-consequences.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { PeerView } from '../src/protocol/peer-view';
-import { isSuspectedByMost } from '../src/suspicion/give-up';
+import { isSuspectedByMajority } from '../src/suspicion/majority-suspicion';
 import { MoveLimiter } from '../src/suspicion/move-limiter';
-import { rankCandidates, type Candidate } from '../src/suspicion/successor';
+import { rankCandidates, type SuccessorCandidate } from '../src/suspicion/successor';
 import { moveCount } from './fakes/ownership-history';
 import {
   freezeFor,
@@ -16,27 +16,28 @@
   type Fault,
 } from './suspicion-steps';
 
-const candidate = (node: string, fields: Partial<Candidate> = {}): Candidate => ({
-  node,
+const candidate = (controller: string, fields: Partial<SuccessorCandidate> = {}): SuccessorCandidate => ({
+  controller,
   isSuspect: false,
   isOnProbation: false,
-  wasHolder: false,
+  wasLastOwner: false,
   shards: 0,
   isUpgraded: true,
   ...fields,
 });
 
-const names = (candidates: readonly Candidate[]): string[] => candidates.map(({ node }) => node);
+const names = (candidates: readonly SuccessorCandidate[]): string[] =>
+  candidates.map(({ controller }) => controller);
 
 test('the order of successors is the same for all, whatever order they know them in, and spreads over controllers', () => {
-  const nodes = ['a', 'b', 'c', 'd', 'e'].map((node) => candidate(node));
+  const nodes = ['a', 'b', 'c', 'd', 'e'].map((controller) => candidate(controller));
   const firsts = new Map<string, number>();
   for (let shard = 0; shard < 500; shard += 1) {
     const order = names(rankCandidates(shard, nodes));
     assert.deepEqual(names(rankCandidates(shard, [...nodes].reverse())), order);
     firsts.set(order[0] ?? '', (firsts.get(order[0] ?? '') ?? 0) + 1);
     // Another controller that goes moves no shard but its own.
-    const without = nodes.filter(({ node }) => node !== order[4]);
+    const without = nodes.filter(({ controller }) => controller !== order[4]);
     assert.deepEqual(names(rankCandidates(shard, without)), order.slice(0, 4));
   }
   assert.ok([...firsts.values()].every((count) => count > 60 && count < 140));
@@ -50,7 +51,7 @@
 
 test('then count shards, upgrades, probation, and who owned it last', () => {
   const order = [
-    candidate('holder', { wasHolder: true }),
+    candidate('holder', { wasLastOwner: true }),
     candidate('returned', { isOnProbation: true }),
     candidate('old', { isUpgraded: false }),
     candidate('loaded', { shards: 1 }),
@@ -211,7 +212,7 @@
 });
 
 test('the suspicion of one controller of several is not that of most, whoever else is away or stalled', () => {
-  const subject = { node: 'a', run: 5 };
+  const subject = { controller: 'a', sessionEpoch: 5 };
   const suspects = (fields: Partial<PeerView> = {}, run = 5): PeerView => ({
     ...{ run: 9, incarnation: 0, isStalled: false, ...fields },
     opinions: [
@@ -222,7 +223,7 @@
     ],
   });
   const isSuspected = (views: Record<string, PeerView>, others: number): boolean =>
-    isSuspectedByMost(subject, new Map(Object.entries(views)), others);
+    isSuspectedByMajority(subject, new Map(Object.entries(views)), others);
   assert.equal(isSuspected({ b: suspects(), c: suspects() }, 2), true);
   assert.equal(isSuspected({ b: suspects() }, 2), false);
   assert.equal(isSuspected({ b: suspects(), c: suspects() }, 4), false);
--- a/test/suspicion-detector.test.ts
+++ b/test/suspicion-detector.test.ts
@@ -41,14 +41,14 @@
       ['a', 'b'],
       { ...DEFAULT_OPTIONS, ...options },
       0,
-      ({ node, before, after }) => {
-        this.changes.push(`${node}: ${before.status} to ${after.status}`);
+      ({ peer, before, after }) => {
+        this.changes.push(`${peer}: ${before.status} to ${after.status}`);
       },
     );
   }
 
   status(node: string): string | undefined {
-    return this.detector.record(node)?.status;
+    return this.detector.state(node)?.status;
   }
 
   /** Lets time pass tick by tick; each peer that speaks sends a heartbeat a second. */
@@ -228,7 +228,7 @@
 test('peers that the settings do not name are not kept', () => {
   const bench = new Bench();
   bench.detector.onHeartbeat('stranger', SPEAKING.a, 0);
-  assert.equal(bench.detector.record('stranger'), undefined);
+  assert.equal(bench.detector.state('stranger'), undefined);
   assert.deepEqual(
     bench.detector.opinions(0).map(({ node }) => node),
     ['a', 'b'],
--- a/test/suspicion-handover.test.ts
+++ b/test/suspicion-handover.test.ts
@@ -8,9 +8,9 @@
   BasicTracerProvider,
 } from '@opentelemetry/sdk-trace-base';
 import {
-  GIVE_UP_STEPS,
+  PLANNED_HANDOVER_STEPS,
   HandoverTrace,
-  TAKEOVER_STEPS,
+  FAILOVER_STEPS,
   type HandoverStep,
 } from '../src/suspicion/handover-trace';
 import { FakeClock } from './fakes/clock';
@@ -43,7 +43,7 @@
   };
 }
 
-for (const step of [...GIVE_UP_STEPS, ...TAKEOVER_STEPS]) {
+for (const step of [...PLANNED_HANDOVER_STEPS, ...FAILOVER_STEPS]) {
   test(`who has just come to "${step}" stalls for 8 s: one owner at a time, and every job has one again`, async () => {
     const { history } = await playFault(stallAt(step), { operator: SUSPICION_ON });
     assert.ok(moveCount(history) >= 1);
@@ -97,13 +97,13 @@
     info: (fields: unknown) => lines.push(fields),
   };
   const handover = new HandoverTrace(3, { clock, log: log as never });
-  for (const step of TAKEOVER_STEPS) {
+  for (const step of FAILOVER_STEPS) {
     handover.reached(step);
     handover.reached(step);
     await clock.advance(250);
   }
   assert.equal(handover.isOver, true);
-  assert.equal(lines.length, TAKEOVER_STEPS.length, 'a step that is repeated is logged once');
+  assert.equal(lines.length, FAILOVER_STEPS.length, 'a step that is repeated is logged once');
   const brokenOff = new HandoverTrace(4, { clock, log: log as never });
   brokenOff.reached('chosen');
   brokenOff.abandon();
@@ -112,7 +112,7 @@
   assert.deepEqual(
     spans.map(({ attributes, events }) => [attributes.shard, events.map(({ name }) => name)]),
     [
-      [3, [...TAKEOVER_STEPS]],
+      [3, [...FAILOVER_STEPS]],
       [4, ['chosen', 'abandoned']],
     ],
   );
--- a/test/suspicion-messages.test.ts
+++ b/test/suspicion-messages.test.ts
@@ -85,7 +85,7 @@
     debug: () => undefined,
     warn: (fields: { reason?: string }) => warnings.push(fields.reason ?? ''),
   };
-  const context = { node: 'node-0', peers: ['node-1', 'node-2'], clock, cache, log: log as never };
+  const context = { controllerId: 'node-0', peers: ['node-1', 'node-2'], clock, cache, log: log as never };
   const suspicion = new Suspicion(context, DEFAULT_OPTIONS);
   return { suspicion, warnings };
 }
