--- a/src/admission/admission-control.ts
+++ b/src/admission/admission-control.ts
@@ -12,6 +12,7 @@
 import type { ChangeEvent, Condition, KeyValueStore } from '../protocol/key-value-store';
 import { NoResponseError } from '../transport/http-client';
 import { Busy, type RateLimit } from '../transport/rate-limit';
+import { changeEvents } from './change-events';
 import { decide } from './decision';
 import type { Epoch } from './epoch';
 import { flowRecordKey, readAdmitted, readEpoch } from './epoch-records';
@@ -21,7 +22,7 @@
 /** An overload whose epoch isn't renewed for so many of its intervals is taken to be over. */
 const EXPIRES_AFTER_EPOCHS = 6;
 /** How often records are read again before a submission is answered with 503. */
-const READ_TRIES = 2;
+const MAX_REREADS = 2;
 
 /** What the decisions work on. */
 export interface AdmissionContext {
@@ -31,14 +32,20 @@
   readonly log: Log;
   /** Bounds questions about deferred jobs, so that a flood of submissions leaves polls their requests. */
   readonly lookUps: RateLimit;
-  /** Brings a change that the state service has acknowledged into this node's copy, and tells the other nodes. */
+  /** Brings a change that the key-value store has acknowledged into this controller's copy, and notifies its peers. */
   publish(event: ChangeEvent): void;
 }
 
+/** The epoch in force, undefined while there is no overload, and the condition that proves it. */
+interface EpochInForce {
+  readonly epoch: Epoch | undefined;
+  readonly condition: Condition;
+}
+
 /**
  * Admission by epochs. A decision depends on the epoch, on what the job's flow was admitted in this overload, and on the
- * job; the transaction that accepts the job is guarded on the versions of both records. So a controller whose copy is old
- * can defer a job that is admitted elsewhere, and never admits one that the newest records defer.
+ * job; the transaction that accepts the job has the versions of both records as conditions. So a controller whose copy is
+ * old can defer a job that is admitted elsewhere, and never admits one that the newest records defer.
  *
  * Outside of an overload the condition on the epoch is all that is added: no request and no change.
  */
@@ -56,20 +63,27 @@
 
   async termsFor(job: Job): Promise<AdmissionTerms> {
     const { epoch, condition } = await this.#epochFor(job);
-    const conditions: Condition[] = [condition];
-    if (!epoch) return { conditions, changes: [] };
+    if (!epoch) return { conditions: [condition], changes: [] };
     const flow = flowOf(job);
     const key = flowRecordKey(flow);
     const admitted = readAdmitted(this.context.cache.get(key)?.value, epoch.overload);
     const decision = decide(epoch, admitted, job);
     traceDecision(job, epoch, decision);
-    if (decision.kind === 'defer') throw new SubmissionDeferred(job.id, decision.retryAfterS);
-    if (decision.kind === 'open') return { conditions, changes: [] };
-    conditions.push(this.#condition(key));
-    const { jobClass, team } = flow;
-    const { overload } = epoch;
-    const value = { class: jobClass, team, overload, admitted: admitted + decision.cost };
-    return { conditions, changes: [{ put: key, value }] };
+    switch (decision.kind) {
+      case 'defer':
+        throw new SubmissionDeferred(job.id, decision.retryAfterS);
+      case 'open':
+        return { conditions: [condition], changes: [] };
+      case 'admit': {
+        const value = {
+          class: flow.jobClass,
+          team: flow.team,
+          overload: epoch.overload,
+          admitted: admitted + decision.cost,
+        };
+        return { conditions: [condition, this.#condition(key)], changes: [{ put: key, value }] };
+      }
+    }
   }
 
   async allowsLookUp(): Promise<boolean> {
@@ -90,10 +104,7 @@
   }
 
   accepted({ changes }: AdmissionTerms, revision: number): void {
-    for (const change of changes) {
-      if (!('put' in change)) continue;
-      this.context.publish({ key: change.put, version: revision, value: change.value, deleted: false });
-    }
+    for (const event of changeEvents(changes, revision)) this.context.publish(event);
   }
 
   #condition(key: string): Condition {
@@ -101,25 +112,29 @@
   }
 
   /**
-   * The epoch in force, undefined while there is no overload, and the condition that proves it. The condition is read together
-   * with the epoch: one that is read a turn later might prove the next epoch, by which nothing was decided.
+   * The condition is read together with the epoch: one that is read a turn later might prove the next epoch, by which
+   * nothing was decided.
    */
-  async #epochFor(job: Job): Promise<{ epoch: Epoch | undefined; condition: Condition }> {
-    for (let attempt = 0; attempt <= READ_TRIES; attempt += 1) {
+  async #epochFor(job: Job): Promise<EpochInForce> {
+    for (let attempt = 0; attempt <= MAX_REREADS; attempt += 1) {
       const condition = this.#condition(KEY.admission);
       const found = readEpoch(this.context.cache, (jobClass) => jobClass === job.jobClass);
-      if (found.kind === 'none') return { epoch: undefined, condition };
-      if (found.kind === 'malformed') return this.#refuseMalformed();
-      if (found.kind === 'epoch') {
-        this.#isMalformedReported = false;
-        return { epoch: this.#hasExpired(found.epochMs) ? undefined : found.epoch, condition };
+      switch (found.kind) {
+        case 'none':
+          return { epoch: undefined, condition };
+        case 'malformed':
+          return this.#rejectMalformed();
+        case 'epoch':
+          this.#isMalformedReported = false;
+          return { epoch: this.#hasExpired(found.epochMs) ? undefined : found.epoch, condition };
+        case 'stale':
+          await this.#readAgain(found.keys);
       }
-      await this.#readAgain(found.keys);
     }
     throw new NoResponseError('the admission epoch is just being written', false);
   }
 
-  #refuseMalformed(): never {
+  #rejectMalformed(): never {
     if (!this.#isMalformedReported) {
       this.#isMalformedReported = true;
       this.context.log.error(
@@ -130,7 +145,10 @@
     throw new NoResponseError('the admission epoch cannot be read', false);
   }
 
-  /** Nobody renews it, as admission was switched off at the leader, or by all: to defer for ever would serve nobody. */
+  /**
+   * Whether no leader renews the epoch any more, as admission was switched off at the leader, or at all controllers: then
+   * nothing would ever end the deferrals.
+   */
   #hasExpired(epochMs: number): boolean {
     return this.context.clock.now() - this.#epochSeenAt > epochMs * EXPIRES_AFTER_EPOCHS;
   }
@@ -140,7 +158,7 @@
     for (const key of keys) {
       const entry = await store.get(key);
       if (entry) cache.offer({ ...entry, deleted: false });
-      // It was deleted, which the watch will tell of in a moment.
+      // The record was deleted; the watch brings that in a moment.
       else if (cache.get(key)) throw new NoResponseError(`${key} was deleted`, false);
     }
   }
--- a/src/admission/decision.ts
+++ b/src/admission/decision.ts
@@ -1,7 +1,7 @@
 /** @file Decides whether a job is admitted, from an epoch and the job alone. */
 import type { Job } from '../protocol/model';
-import { grantLookup, type Epoch } from './epoch';
-import { flowKey, flowOf, jobCost } from './flow';
+import { findGrant, type Epoch } from './epoch';
+import { flowOf, jobCost } from './flow';
 
 /** What becomes of a submission. */
 export type Decision =
@@ -15,8 +15,8 @@
 const MIN_RETRY_S = 1;
 /** The longest `Retry-After` that users follow. */
 const MAX_RETRY_S = 30;
-/** Retries of one flow are spread over so many seconds. */
-const SPREAD_S = 6;
+/** Retries of one flow are spread over so many seconds, so that they don't come at once. */
+const RETRY_SPREAD_S = 6;
 
 /**
  * The decision for a job that is not accepted yet. It depends on nothing but the epoch, what the flow was admitted and the
@@ -30,18 +30,15 @@
   if (!epoch.isOverloaded) return { kind: 'open' };
   const cost = jobCost(job);
   if (job.dependencies) return { kind: 'admit', cost };
-  const flow = flowOf(job);
-  const granted = grantLookup(epoch)(flow);
+  const { granted, rate } = findGrant(epoch, flowOf(job)) ?? { granted: epoch.newFlowGrant, rate: 0 };
   if (admitted < granted) return { kind: 'admit', cost };
-  const key = flowKey(flow);
-  const rate = epoch.grants.find((grant) => flowKey(grant) === key)?.rate ?? 0;
   return { kind: 'defer', retryAfterS: retryAfterS(admitted - granted, rate, job.id) };
 }
 
-/** When the flow's debt should be repaid, and a little later by the job's id, so that retries don't come at once. */
+/** When the flow's debt should be repaid, and a little later by the job's id. */
 function retryAfterS(debt: number, rate: number, id: string): number {
   const repaidS = rate > 0 ? debt / rate : MAX_RETRY_S;
-  const spread = hash(id) % SPREAD_S;
+  const spread = hash(id) % RETRY_SPREAD_S;
   return Math.min(MAX_RETRY_S, Math.max(MIN_RETRY_S, Math.ceil(repaidS)) + spread);
 }
 
--- a/src/admission/entitlements.ts
+++ b/src/admission/entitlements.ts
@@ -31,21 +31,21 @@
  */
 export function divide<Key>(amount: number, claims: readonly Claim<Key>[]): Map<Key, number> {
   const shares = new Map<Key, number>(claims.map(({ key }) => [key, 0]));
-  let open = claims.filter(({ want, weight }) => want > 0 && weight > 0);
-  let left = amount;
-  while (open.length > 0 && left > EPSILON) {
-    const totalWeight = open.reduce((sum, { weight }) => sum + weight, 0);
-    const perWeight = left / totalWeight;
-    const satisfied = open.filter(({ want, weight }) => want <= weight * perWeight);
+  let unsatisfied = claims.filter(({ want, weight }) => want > 0 && weight > 0);
+  let remaining = amount;
+  while (unsatisfied.length > 0 && remaining > EPSILON) {
+    const totalWeight = unsatisfied.reduce((sum, { weight }) => sum + weight, 0);
+    const perWeight = remaining / totalWeight;
+    const satisfied = unsatisfied.filter(({ want, weight }) => want <= weight * perWeight);
     if (satisfied.length === 0) {
-      for (const { key, weight } of open) shares.set(key, weight * perWeight);
+      for (const { key, weight } of unsatisfied) shares.set(key, weight * perWeight);
       return shares;
     }
     for (const { key, want } of satisfied) {
       shares.set(key, want);
-      left -= want;
+      remaining -= want;
     }
-    open = open.filter((claim) => !satisfied.includes(claim));
+    unsatisfied = unsatisfied.filter((claim) => !satisfied.includes(claim));
   }
   return shares;
 }
--- a/src/admission/epoch-records.ts
+++ b/src/admission/epoch-records.ts
@@ -1,4 +1,4 @@
-/** @file Stores admission epochs in the state service and reads them back. */
+/** @file Stores admission epochs in the key-value store and reads them back. */
 import { createHash } from 'node:crypto';
 import { KEY, read, type AdmissionRecord } from '../bookkeeping/records';
 import type { Change } from '../protocol/key-value-store';
--- a/src/admission/epoch-writer.ts
+++ b/src/admission/epoch-writer.ts
@@ -1,10 +1,11 @@
-/** @file The leader's part of admission: it writes epochs and deletes what overloads leave behind. */
+/** @file The leader's part of admission: it writes epochs and deletes the records that overloads leave behind. */
 import type { Clock } from '../base/clock';
 import type { Log } from '../base/log';
 import type { FormatGate } from '../bookkeeping/format-gate';
 import { FORMAT, KEY, PREFIX, read } from '../bookkeeping/records';
 import type { WatchCache } from '../bookkeeping/watch-cache';
 import type { Change, ChangeEvent, Condition, KeyValueStore } from '../protocol/key-value-store';
+import { changeEvents } from './change-events';
 import { initialEpoch, nextEpoch, type Epoch } from './epoch';
 import { epochChanges, readEpoch } from './epoch-records';
 import { countMachines, readLoadFacts, type FactsContext } from './load-facts';
@@ -12,9 +13,10 @@
 import { drainTimeS, GrowthWatch } from './overload';
 
 const CHECK_MS = 1_000;
+const MS_PER_S = 1_000;
 /** An epoch that comes late grants for no longer than so many intervals. */
 const MAX_ELAPSED_EPOCHS = 3;
-const DELETED_AT_ONCE = 8;
+const MAX_DELETIONS_AT_ONCE = 8;
 
 /** What the epoch writer works on. */
 export interface EpochWriterContext extends FactsContext {
@@ -25,19 +27,22 @@
   readonly formatGate: FormatGate;
   /** Changes that a transaction may have. */
   readonly changes: number;
-  /** The condition that proves that this node leads; undefined when it doesn't. */
+  /** The condition that proves that this controller is the leader; undefined when it isn't. */
   leaderCondition(): Condition | undefined;
+  /** Brings a change that the key-value store has acknowledged into this controller's copy, and notifies its peers. */
   publish(event: ChangeEvent): void;
 }
 
 /**
- * Writes the next admission epoch while this node leads. All that it goes by lies in the state service, but for how long
- * the fleet has not grown, which every node observes: a new leader neither forgets an overload nor begins one anew. Each
- * write is guarded on the leader record and on the epoch before, so one that is carried out late changes nothing.
+ * Writes the next admission epoch while this controller is the leader. All that it uses is in the key-value store, except
+ * for how long the fleet has not grown, which every controller observes: a new leader neither forgets an overload nor
+ * begins one anew. Each write has the leader record and the epoch before as conditions, so one that is carried out late
+ * changes nothing.
  */
 export class EpochWriter {
   readonly #growth = new GrowthWatch();
   #writtenAt: number | undefined;
+  /** The weights in force that were last reported to differ from those of this controller. */
   #reportedWeights: string | undefined;
 
   constructor(
@@ -46,67 +51,72 @@
     private readonly options: AdmissionOptions | undefined,
   ) {}
 
-  /** One step; to be run in a loop on every node. */
+  /** One step; to be run in a loop on every controller. */
   async step(signal: AbortSignal): Promise<void> {
-    const { cache, clock } = this.context;
+    const { cache, clock, formatGate } = this.context;
     await clock.sleep(CHECK_MS, signal);
     if (signal.aborted || !cache.loaded) return;
     if (this.options) this.#growth.observe(countMachines(cache), clock.now());
-    const leadership = this.context.leaderCondition();
-    if (!leadership) {
-      this.#writtenAt = undefined;
-      return;
-    }
-    if (!this.options) await this.#switchOff(leadership);
-    else if (this.context.formatGate.isOpenFor(FORMAT.admission))
-      await this.#advance(leadership, this.options);
+    const leaderCondition = this.context.leaderCondition();
+    if (!leaderCondition) this.#writtenAt = undefined;
+    else if (!this.options) await this.#switchOff(leaderCondition);
+    else if (formatGate.isOpenFor(FORMAT.admission)) await this.#advance(leaderCondition, this.options);
   }
 
-  async #advance(leadership: Condition, options: AdmissionOptions): Promise<void> {
-    const { cache, clock, log } = this.context;
-    const found = readEpoch(cache, () => true);
-    if (found.kind === 'stale') return;
-    if (found.kind === 'malformed') {
-      log.error({ key: KEY.admission }, 'the admission epoch cannot be read: it is left as it is');
-      return;
-    }
-    const current = found.kind === 'epoch' ? found.epoch : initialEpoch(options.weights);
+  async #advance(leaderCondition: Condition, options: AdmissionOptions): Promise<void> {
+    const current = this.#readCurrent(options);
+    if (!current) return;
     this.#compareWeights(current, options);
-    const now = clock.now();
-    const epochMs = options.epochS * 1000;
+    const now = this.context.clock.now();
+    const epochMs = options.epochS * MS_PER_S;
     if (current.isOverloaded && this.#writtenAt !== undefined && now - this.#writtenAt < epochMs) return;
     const { load, flows } = readLoadFacts(this.context, current, options.enterS);
-    const elapsedMs = Math.min(now - (this.#writtenAt ?? now - epochMs), epochMs * MAX_ELAPSED_EPOCHS);
     const stalledForS = this.#growth.stalledForS(now);
-    const next = nextEpoch(current, { load, stalledForS, flows, elapsedS: elapsedMs / 1000 }, options);
+    const elapsedS = this.#elapsedMs(now, epochMs) / MS_PER_S;
+    const next = nextEpoch(current, { load, stalledForS, flows, elapsedS }, options);
     if (next === current) {
-      await this.#cleanUp(leadership, current);
+      await this.#cleanUp(leaderCondition, current);
       return;
     }
-    if (!(await this.#write(leadership, current, next, epochMs))) return;
+    if (!(await this.#write(leaderCondition, next, epochMs))) return;
     this.#writtenAt = now;
     this.#report(current, next, drainTimeS(load));
   }
 
-  async #write(leadership: Condition, current: Epoch, next: Epoch, epochMs: number): Promise<boolean> {
-    const { store, publish, changes: mostChanges } = this.context;
-    const changes = epochChanges(this.#bounded(next, mostChanges - 1), epochMs);
-    const conditions = [leadership, this.#condition(KEY.admission)];
-    const result = await store.compareAndSwap(conditions, changes, true);
-    if (!result.ok) return false;
-    // The classes before the epoch that names them: a peer that has the one has the others.
-    for (const change of [...changes].reverse()) {
-      if (!('put' in change)) continue;
-      publish({ key: change.put, version: result.revision, value: change.value, deleted: false });
+  /** The epoch that the next one follows; undefined when the records don't tell at present. */
+  #readCurrent(options: AdmissionOptions): Epoch | undefined {
+    const found = readEpoch(this.context.cache, () => true);
+    switch (found.kind) {
+      case 'epoch':
+        return found.epoch;
+      case 'none':
+        return initialEpoch(options.weights);
+      case 'stale':
+        return undefined;
+      case 'malformed':
+        this.context.log.error(
+          { key: KEY.admission },
+          'the admission epoch cannot be read: it is left as it is',
+        );
+        return undefined;
     }
-    return next.number > current.number;
   }
 
-  /** Where there are more classes than a transaction has changes, the rest count as new flows. */
-  #bounded(epoch: Epoch, mostClasses: number): Epoch {
-    const classes = [...new Set(epoch.grants.map(({ jobClass }) => jobClass))];
-    const kept = new Set(classes.slice(0, mostClasses));
-    return { ...epoch, grants: epoch.grants.filter(({ jobClass }) => kept.has(jobClass)) };
+  /** For how long the next epoch grants: the time since this controller wrote one, or the usual interval. */
+  #elapsedMs(now: number, epochMs: number): number {
+    const writtenAt = this.#writtenAt ?? now - epochMs;
+    return Math.min(now - writtenAt, epochMs * MAX_ELAPSED_EPOCHS);
+  }
+
+  async #write(leaderCondition: Condition, next: Epoch, epochMs: number): Promise<boolean> {
+    const { store, publish, changes: maxChanges } = this.context;
+    const changes = epochChanges(limitClasses(next, maxChanges - 1), epochMs);
+    const conditions = [leaderCondition, this.#condition(KEY.admission)];
+    const result = await store.compareAndSwap(conditions, changes, true);
+    if (!result.ok) return false;
+    // The classes before the epoch that names them: a peer that has the one has the others.
+    for (const event of changeEvents(changes, result.revision).reverse()) publish(event);
+    return true;
   }
 
   #report(current: Epoch, next: Epoch, drainS: number): void {
@@ -117,53 +127,51 @@
     else log.info({ ...facts, flows: next.grants.length }, 'admission: epoch');
   }
 
-  /** Controllers with differing weights: those of the epoch hold until the overload is over. */
+  /** Controllers with differing weights: those of the epoch are in force until the overload is over. */
   #compareWeights(current: Epoch, options: AdmissionOptions): void {
-    const theirs = JSON.stringify(current.weights);
-    const differ = current.isOverloaded && theirs !== JSON.stringify(options.weights);
-    if (differ && this.#reportedWeights !== theirs) {
+    const inForce = JSON.stringify(current.weights);
+    const differ = current.isOverloaded && inForce !== JSON.stringify(options.weights);
+    if (differ && this.#reportedWeights !== inForce) {
       this.context.log.error({ inForce: current.weights }, 'admission: weights differ from those in force');
     }
-    this.#reportedWeights = differ ? theirs : undefined;
+    this.#reportedWeights = differ ? inForce : undefined;
   }
 
   /** Deletes records of overloads that are over. */
-  async #cleanUp(leadership: Condition, current: Epoch): Promise<void> {
+  async #cleanUp(leaderCondition: Condition, current: Epoch): Promise<void> {
     if (current.isOverloaded) return;
-    await this.#deleteSome(leadership, [PREFIX.admissionClass, PREFIX.admissionFlow], (value) => {
+    await this.#deleteSome(leaderCondition, (value) => {
       const flow = read.admissionFlow(value);
       return flow === undefined || flow.overload <= current.overload;
     });
   }
 
-  /** The switch is off at the leader: an overload in force ends at once for all. */
-  async #switchOff(leadership: Condition): Promise<void> {
-    const { cache, store, log } = this.context;
-    if (cache.get(KEY.admission)) {
-      const epoch = this.#condition(KEY.admission);
-      const result = await store.compareAndSwap([leadership, epoch], [{ delete: KEY.admission }], true);
-      if (result.ok) {
-        log.warn({}, 'admission: switched off at the leader');
-        this.context.publish({ key: KEY.admission, version: result.revision, deleted: true });
-      }
-      return;
-    }
-    await this.#deleteSome(leadership, [PREFIX.admissionClass, PREFIX.admissionFlow], () => true);
+  /** Admission is off at the leader: an overload in force ends at once for all controllers. */
+  async #switchOff(leaderCondition: Condition): Promise<void> {
+    if (this.context.cache.get(KEY.admission)) await this.#deleteEpoch(leaderCondition);
+    else await this.#deleteSome(leaderCondition, () => true);
   }
 
-  async #deleteSome(
-    leadership: Condition,
-    prefixes: readonly string[],
-    isOver: (value: unknown) => boolean,
-  ): Promise<void> {
-    const { cache, store, changes } = this.context;
-    const over = prefixes
+  async #deleteEpoch(leaderCondition: Condition): Promise<void> {
+    const { store, log, publish } = this.context;
+    const deletion: Change = { delete: KEY.admission };
+    const conditions = [leaderCondition, this.#condition(KEY.admission)];
+    const result = await store.compareAndSwap(conditions, [deletion], true);
+    if (!result.ok) return;
+    log.warn({}, 'admission: switched off at the leader');
+    for (const event of changeEvents([deletion], result.revision)) publish(event);
+  }
+
+  /** Deletes class and flow records that are over, as many as one transaction may. */
+  async #deleteSome(leaderCondition: Condition, isOver: (value: unknown) => boolean): Promise<void> {
+    const { cache, store, changes: maxChanges } = this.context;
+    const over = [PREFIX.admissionClass, PREFIX.admissionFlow]
       .flatMap((prefix) => [...cache.under(prefix)])
       .filter(({ value }) => isOver(value))
-      .slice(0, Math.min(DELETED_AT_ONCE, changes));
+      .slice(0, Math.min(MAX_DELETIONS_AT_ONCE, maxChanges));
     if (over.length === 0) return;
     const conditions = [
-      leadership,
+      leaderCondition,
       this.#condition(KEY.admission),
       ...over.map(({ key, version }) => ({ key, version })),
     ];
@@ -175,3 +183,10 @@
     return { key, version: this.context.cache.version(key) };
   }
 }
+
+/** Where there are more classes than a transaction has changes, the rest count as new flows. */
+function limitClasses(epoch: Epoch, maxClasses: number): Epoch {
+  const classes = [...new Set(epoch.grants.map(({ jobClass }) => jobClass))];
+  const kept = new Set(classes.slice(0, maxClasses));
+  return { ...epoch, grants: epoch.grants.filter(({ jobClass }) => kept.has(jobClass)) };
+}
--- a/src/admission/epoch.ts
+++ b/src/admission/epoch.ts
@@ -41,8 +41,8 @@
   readonly elapsedS: number;
 }
 
-/** A flow without demand keeps the grant of so many epochs, and saves up no more. */
-const KEPT_EPOCHS = 4;
+/** A flow without demand saves up the grant of so many epochs, and no more. */
+const MAX_SAVED_EPOCHS = 4;
 /** The rate of grants lies between these multiples of the capacity. */
 const MIN_RATE_FACTOR = 0.25;
 const MAX_RATE_FACTOR = 4;
@@ -95,16 +95,22 @@
     const key = flowKey({ jobClass, team });
     const rate = rates.get(key) ?? 0;
     const excess = Math.max(0, backlog - (fairBacklogs.get(key) ?? 0));
-    return { jobClass, team, granted: rate * options.epochS * KEPT_EPOCHS - excess, rate };
+    return { jobClass, team, granted: rate * options.epochS * MAX_SAVED_EPOCHS - excess, rate };
+  });
+  return overloadEpoch(current, {
+    overload: current.overload + 1,
+    weights,
+    grants,
+    rates,
+    epochS: options.epochS,
   });
-  return epochOf(current, { overload: current.overload + 1, weights, grants, rates, epochS: options.epochS });
 }
 
 function continueOverload(current: Epoch, facts: EpochFacts, options: AdmissionOptions): Epoch {
-  // Weights change with the next overload only: nobody's debt is worked out by two measures.
+  // Weights change with the next overload only, so that no flow's debt is worked out by two measures.
   const { weights } = current;
   const rates = flowRates(facts, options, weights);
-  const kept = (key: string): number => (rates.get(key) ?? 0) * options.epochS * KEPT_EPOCHS;
+  const savingsLimit = (key: string): number => (rates.get(key) ?? 0) * options.epochS * MAX_SAVED_EPOCHS;
   const grantedTo = grantLookup(current);
   const states = facts.flows.map((flow) => {
     const granted = grantedTo(flow);
@@ -113,19 +119,31 @@
   const claims: FlowClaim[] = states.map(({ jobClass, team, key, granted, admitted, isExhausted }) => ({
     jobClass,
     team,
-    want: isExhausted ? Infinity : Math.max(0, kept(key) - (granted - admitted)),
+    want: isExhausted ? Infinity : Math.max(0, savingsLimit(key) - (granted - admitted)),
   }));
   const amount = admissionRate(facts, options) * facts.elapsedS;
   const shares = divideAmongFlows(amount, claims, weights);
   const grants = states.map(({ jobClass, team, key, granted, admitted, isExhausted }) => {
-    const usable = isExhausted ? granted : Math.min(granted, admitted + kept(key));
+    const usable = isExhausted ? granted : Math.min(granted, admitted + savingsLimit(key));
     return { jobClass, team, granted: usable + (shares.get(key) ?? 0), rate: rates.get(key) ?? 0 };
   });
-  return epochOf(current, { overload: current.overload, weights, grants, rates, epochS: options.epochS });
+  return overloadEpoch(current, {
+    overload: current.overload,
+    weights,
+    grants,
+    rates,
+    epochS: options.epochS,
+  });
 }
 
-/** Looks up what a flow may take in an epoch. */
-export function grantLookup(epoch: Epoch): (flow: Flow) => number {
+/** The grant of a flow in an epoch; undefined for a flow that is new to it. */
+export function findGrant(epoch: Epoch, flow: Flow): FlowGrant | undefined {
+  const key = flowKey(flow);
+  return epoch.grants.find((grant) => flowKey(grant) === key);
+}
+
+/** Looks up what many flows may take in an epoch. */
+function grantLookup(epoch: Epoch): (flow: Flow) => number {
   const granted = new Map(epoch.grants.map((grant) => [flowKey(grant), grant.granted]));
   return (flow) => granted.get(flowKey(flow)) ?? epoch.newFlowGrant;
 }
@@ -142,24 +160,26 @@
   return divideAmongFlows(admissionRate(facts, options), claims, weights);
 }
 
-function epochOf(
-  current: Epoch,
-  next: {
-    overload: number;
-    weights: Weights;
-    grants: readonly FlowGrant[];
-    rates: ReadonlyMap<string, number>;
-    epochS: number;
-  },
-): Epoch {
-  const { overload, weights, grants, rates, epochS } = next;
+/** What the next epoch of an overload is made of. */
+interface OverloadTerms {
+  readonly overload: number;
+  readonly weights: Weights;
+  readonly grants: readonly FlowGrant[];
+  /** What each flow is granted a second, by `flowKey`. */
+  readonly rates: ReadonlyMap<string, number>;
+  readonly epochS: number;
+}
+
+/** The epoch that follows with these terms. A new flow may take what the flow with the lowest rate may save up. */
+function overloadEpoch(current: Epoch, terms: OverloadTerms): Epoch {
+  const { overload, weights, grants, rates, epochS } = terms;
   const smallestRate = rates.size === 0 ? 1 : Math.min(...rates.values());
   return {
     number: current.number + 1,
     overload,
     isOverloaded: true,
     weights,
-    newFlowGrant: smallestRate * epochS * KEPT_EPOCHS,
+    newFlowGrant: smallestRate * epochS * MAX_SAVED_EPOCHS,
     grants,
   };
 }
--- a/src/admission/load-facts.ts
+++ b/src/admission/load-facts.ts
@@ -1,4 +1,4 @@
-/** @file Reads from a node's copy of the records how much work was accepted and how large the fleet is. */
+/** @file Reads from a controller's copy of the records how much work was accepted and how large the fleet is. */
 import { PREFIX, read } from '../bookkeeping/records';
 import type { WatchCache } from '../bookkeeping/watch-cache';
 import type { Job, MachineType } from '../protocol/model';
@@ -7,14 +7,14 @@
 import { flowKey, flowOf } from './flow';
 import type { Load } from './overload';
 
-/** How far a job's tasks are. */
+/** How many tasks of a job run and are done. */
 export interface TaskProgress {
   readonly running: number;
   readonly done: number;
 }
 
-/** Of a running task this part is taken to be still ahead. */
-const RUNNING_PART = 0.5;
+/** Of a running task this part is assumed to remain. */
+const RUNNING_TASK_REMAINDER = 0.5;
 
 /** What the facts are read from. */
 export interface FactsContext {
@@ -22,7 +22,7 @@
   types(): readonly MachineType[];
   /** How many tasks of a live job run and are done, as far as is known. */
   progressOf(id: string): TaskProgress | undefined;
-  /** Whether the job waits for other jobs rather than for room. */
+  /** Whether the job waits for its dependencies rather than for capacity. */
   waitsForJobs(id: string): boolean;
   /** The upper limit of a team in CPUs; 0 for none. */
   teamLimit(team: string): number;
@@ -69,10 +69,10 @@
 
 function remainingWork({ tasks, cpus, estimateS }: Job, progress: TaskProgress | undefined): number {
   const { running = 0, done = 0 } = progress ?? {};
-  return Math.max(0, tasks - done - running * RUNNING_PART) * cpus * estimateS;
+  return Math.max(0, tasks - done - running * RUNNING_TASK_REMAINDER) * cpus * estimateS;
 }
 
-/** What a team's limit keeps from running is no overload of the fleet: no other team waits for it. */
+/** Work that a team's limit keeps from running is no overload of the fleet: no other team waits because of it. */
 function servableBacklog(
   backlogOfTeam: ReadonlyMap<string, number>,
   context: FactsContext,
--- a/src/admission/options.ts
+++ b/src/admission/options.ts
@@ -25,7 +25,7 @@
 /** The checked table. */
 export type AdmissionTable = z.infer<typeof admissionSchema>;
 
-/** What admission goes by. */
+/** The settings as admission uses them. */
 export interface AdmissionOptions {
   readonly enterS: number;
   readonly leaveS: number;
--- a/src/admission/overload.ts
+++ b/src/admission/overload.ts
@@ -7,9 +7,9 @@
   readonly stalledS: number;
 }
 
-/** Accepted work against what there is for it, at one moment. */
+/** Accepted work and the capacity for it, at one moment. */
 export interface Load {
-  /** CPU seconds of accepted, unfinished work that nothing but room keeps from running. */
+  /** CPU seconds of accepted, unfinished work that only a lack of capacity keeps from running. */
   readonly backlog: number;
   /** CPUs of all machines that are up or booting. */
   readonly capacity: number;
@@ -26,9 +26,9 @@
 }
 
 /**
- * Whether the fleet still grows, as seen by one observer. A backlog alone is no overload: machines may just be on their
- * way. What the cloud would still rent is not published, so a fleet that has stopped growing although work waits is
- * taken to be as large as it can be.
+ * Whether the fleet still grows, as seen by one observer. A backlog alone is no overload: machines may just be
+ * booting. How many more the cloud would rent is not published, so a fleet that has stopped growing although work waits is
+ * assumed to be as large as it can be.
  */
 export class GrowthWatch {
   #baseline: { at: number; capacity: number } | undefined;
@@ -55,15 +55,15 @@
 }
 
 /** While jobs may be held back, an overload goes on down to this part of the backlog that otherwise ends it. */
-const HOLDING_BACK_PART = 0.25;
+const HOLDING_BACK_FACTOR = 0.25;
 
 /**
  * Whether there is an overload. It ends at a smaller backlog than it begins at, and not while flows are held back: then
- * grants grow faster than the fleet works, and the jobs that are held back come in without a rush.
+ * grants grow faster than the fleet works, and the jobs that are held back are admitted without a burst.
  */
 export function isOverloaded(state: OverloadState, thresholds: OverloadThresholds): boolean {
   const { wasOverloaded, isHoldingBack, load, stalledForS } = state;
   const drainS = drainTimeS(load);
   if (!wasOverloaded) return drainS > thresholds.enterS && stalledForS >= thresholds.stalledS;
-  return drainS > thresholds.leaveS * (isHoldingBack ? HOLDING_BACK_PART : 1);
+  return drainS > thresholds.leaveS * (isHoldingBack ? HOLDING_BACK_FACTOR : 1);
 }
