--- a/src/admission/options.ts
+++ b/src/admission/options.ts
@@ -47,7 +47,9 @@
   if (!parsed.success) {
     const issue = parsed.error.issues[0];
     const path = ['admission', ...(issue?.path ?? [])].join('.');
-    throw new SettingsError(`${operatorFile}: ${path}: ${issue?.message ?? 'invalid'}`);
+    throw new SettingsError(`${operatorFile}: ${path}: ${issue?.message ?? 'invalid'}`, {
+      cause: parsed.error,
+    });
   }
   const { objectives, teams } = platform.deployment;
   const classes = objectives.map((objective) => objective.class);
--- a/src/suspicion/options.ts
+++ b/src/suspicion/options.ts
@@ -65,7 +65,9 @@
   if (!parsed.success) {
     const issue = parsed.error.issues[0];
     const path = ['suspicion', ...(issue?.path ?? [])].join('.');
-    throw new SettingsError(`${operatorFile}: ${path}: ${issue?.message ?? 'invalid'}`);
+    throw new SettingsError(`${operatorFile}: ${path}: ${issue?.message ?? 'invalid'}`, {
+      cause: parsed.error,
+    });
   }
   const problem = contradiction(parsed.data, shardLeaseMs / MS_PER_S);
   if (problem !== undefined) throw new SettingsError(`${operatorFile}: suspicion.${problem}`);
