--- a/src/admission/options.ts
+++ b/src/admission/options.ts
@@ -25,7 +25,7 @@
 /** The checked table. */
 export type AdmissionTable = z.infer<typeof admissionSchema>;
 
-/** What admission goes by. */
+/** The settings as admission uses them. */
 export interface AdmissionOptions {
   readonly enterS: number;
   readonly leaveS: number;
@@ -47,7 +47,9 @@
   if (!parsed.success) {
     const issue = parsed.error.issues[0];
     const path = ['admission', ...(issue?.path ?? [])].join('.');
-    throw new SettingsError(`${operatorFile}: ${path}: ${issue?.message ?? 'invalid'}`);
+    throw new SettingsError(`${operatorFile}: ${path}: ${issue?.message ?? 'invalid'}`, {
+      cause: parsed.error,
+    });
   }
   const { objectives, teams } = platform.deployment;
   const classes = objectives.map((objective) => objective.class);
--- a/src/coordination/ownership/owner-candidates.ts
+++ b/src/coordination/ownership/owner-candidates.ts
@@ -1,7 +1,7 @@
 /** @file The controllers that could own a shard, as the records show them. */
 import { KEY, PREFIX, read } from '../../bookkeeping/records';
 import { shardCount } from '../../bookkeeping/shard-count';
-import type { Contender } from '../../suspicion/suspicion';
+import type { OwnerCandidate } from '../../suspicion/successor';
 import type { ControllerContext } from '../controller-context';
 
 /** The controllers that hold a session, in the order in which they opened it. */
@@ -27,10 +27,10 @@
 export function ownerCandidates(
   context: ControllerContext,
   shardCounts: ReadonlyMap<string, number>,
-): Contender[] {
+): OwnerCandidate[] {
   const missing = context.formatGate.missing();
   return [...shardCounts].map(([controller, count]) => ({
-    node: controller,
+    controller,
     shards: count,
     isUpgraded: !missing.includes(controller),
   }));
@@ -50,5 +50,5 @@
   if (context.suspicion) return context.suspicion.rank(shard, candidates);
   return candidates
     .sort((a, b) => a.shards - b.shards || Number(b.isUpgraded) - Number(a.isUpgraded))
-    .map(({ node }) => node);
+    .map(({ controller }) => controller);
 }
