--- a/src/admission/epoch-writer.ts
+++ b/src/admission/epoch-writer.ts
@@ -92,7 +92,7 @@
     const { store, publish, changes: mostChanges } = this.context;
     const changes = epochChanges(this.#bounded(next, mostChanges - 1), epochMs);
     const conditions = [leadership, this.#condition(KEY.admission)];
-    const result = await store.compareAndSwap(conditions, changes, true);
+    const result = await store.compareAndSwap(conditions, changes, 'urgent');
     if (!result.ok) return false;
     // The classes before the epoch that names them: a peer that has the one has the others.
     for (const change of [...changes].reverse()) {
@@ -141,7 +141,7 @@
     const { cache, store, log } = this.context;
     if (cache.get(KEY.admission)) {
       const epoch = this.#condition(KEY.admission);
-      const result = await store.compareAndSwap([leadership, epoch], [{ delete: KEY.admission }], true);
+      const result = await store.compareAndSwap([leadership, epoch], [{ delete: KEY.admission }], 'urgent');
       if (result.ok) {
         log.warn({}, 'admission: switched off at the leader');
         this.context.publish({ key: KEY.admission, version: result.revision, deleted: true });
--- a/src/bookkeeping/format-gate.ts
+++ b/src/bookkeeping/format-gate.ts
@@ -98,7 +98,7 @@
     const result = await this.context.store.compareAndSwap(
       [{ key, version: entry?.version ?? 0 }],
       [{ put: key, value: { format: RECORD_FORMAT } }],
-      true,
+      'urgent',
     );
     return result.ok;
   }
--- a/src/bookkeeping/job-store.ts
+++ b/src/bookkeeping/job-store.ts
@@ -257,7 +257,7 @@
           { key: KEY.final(id), version: 0 },
         ],
         [{ put: KEY.final(id), value }, { delete: KEY.job(id) }],
-        true,
+        'urgent',
       );
       if (result.ok) {
         const status = this.rememberFinal(id, value);
--- a/src/bookkeeping/session.ts
+++ b/src/bookkeeping/session.ts
@@ -94,7 +94,7 @@
     const result = await this.store.compareAndSwap(
       [{ key, version: 0 }],
       [{ put: key, value: { lease }, lease }],
-      true,
+      'urgent',
     );
     if (!result.ok) return;
     this.#renewedAt = sentAt;
--- a/src/coordination/controller-services.ts
+++ b/src/coordination/controller-services.ts
@@ -18,7 +18,8 @@
 import { WatchCache } from '../bookkeeping/watch-cache';
 import { Cloud } from '../protocol/cloud';
 import { writePeerMessage } from '../protocol/peers';
-import { HttpKeyValueStore, type ChangeEvent, type KeyValueStore } from '../protocol/key-value-store';
+import { HttpKeyValueStore } from '../protocol/http-key-value-store';
+import type { ChangeEvent, KeyValueStore } from '../protocol/key-value-store';
 import { readSuspicionOptions } from '../suspicion/options';
 import { Suspicion } from '../suspicion/suspicion';
 import { RateLimit } from '../transport/rate-limit';
@@ -49,13 +50,13 @@
 function createStateStore(settings: Settings, { clock, http }: Environment): KeyValueStore {
   const { deployment, external } = settings.platform;
   const { rps, write_rps } = deployment.state;
-  return new HttpKeyValueStore(
+  return new HttpKeyValueStore({
     http,
-    external.state,
-    new RateLimit(clock, rps * RATE_PART, rps * RATE_PART),
-    new RateLimit(clock, write_rps * RATE_PART, write_rps * RATE_PART),
-    STATE_TIMEOUT_MS,
-  );
+    address: external.state,
+    requests: new RateLimit(clock, rps * RATE_PART, rps * RATE_PART),
+    writes: new RateLimit(clock, write_rps * RATE_PART, write_rps * RATE_PART),
+    timeoutMs: STATE_TIMEOUT_MS,
+  });
 }
 
 function createCloud({ platform, throttling }: Settings, { clock, http }: Environment): Cloud {
--- a/src/coordination/ownership/leader.ts
+++ b/src/coordination/ownership/leader.ts
@@ -40,7 +40,7 @@
       const result = await store.compareAndSwap(
         [{ key: KEY.leader, version: 0 }],
         [{ put: KEY.leader, value: { node: controllerId }, lease: session.lease }],
-        true,
+        'urgent',
       );
       if (result.ok) {
         log.info({ node: controllerId }, 'became leader');
@@ -145,7 +145,7 @@
     const result = await store.compareAndSwap(
       [{ key, version: cache.version(key) }, leadership],
       [{ put: key, value }],
-      true,
+      'urgent',
     );
     if (!result.ok) return false;
     log.info({ shard, owner }, 'shard assigned');
--- a/src/coordination/ownership/lease-relay.ts
+++ b/src/coordination/ownership/lease-relay.ts
@@ -80,7 +80,7 @@
     const result = await this.context.store.compareAndSwap(
       [{ key, version: this.context.cache.version(key) }],
       [{ put: key, value: {}, lease: ownLease }],
-      true,
+      'urgent',
     );
     if (result.ok) this.#relayed.set(shard, ownLease);
   }
@@ -92,7 +92,7 @@
     await this.context.store.compareAndSwap(
       [{ key, version: this.context.cache.version(key) }],
       [{ delete: key }],
-      true,
+      'urgent',
     );
   }
 
--- a/src/coordination/ownership/shard-acquisition.ts
+++ b/src/coordination/ownership/shard-acquisition.ts
@@ -66,7 +66,7 @@
     else if (read.shard(cache.get(KEY.shard(shard))?.value)?.owner !== controllerId) {
       owner.stop('assigned to another controller');
       // Once the lease is gone the other may take it: nothing leaves here any more.
-      await store.compareAndSwap([owner.leaseCondition()], [{ delete: KEY.lease(shard) }], true);
+      await store.compareAndSwap([owner.leaseCondition()], [{ delete: KEY.lease(shard) }], 'urgent');
     }
     if (!owner.stopped) await this.#handOverUnreachable(owner);
     if (!owner.stopped) await this.#handOverPlanned(owner);
@@ -130,7 +130,11 @@
     const changes = isAssignedHere
       ? [{ put: key, value: { ...record, owner: successor } }, deletion]
       : [deletion];
-    await store.compareAndSwap([owner.leaseCondition(), { key, version: cache.version(key) }], changes, true);
+    await store.compareAndSwap(
+      [owner.leaseCondition(), { key, version: cache.version(key) }],
+      changes,
+      'urgent',
+    );
   }
 
   async #acquireAssigned(): Promise<void> {
@@ -163,7 +167,7 @@
    * it as long as our session lives.
    */
   async #deleteLeaseWithoutTables({ key, version }: Entry): Promise<void> {
-    await this.context.store.compareAndSwap([{ key, version }], [{ delete: key }], true);
+    await this.context.store.compareAndSwap([{ key, version }], [{ delete: key }], 'urgent');
   }
 
   /** A handover begins when this node is seen to be chosen, and is broken off when another is. */
@@ -194,7 +198,7 @@
         { put: KEY.lease(shard), value: { owner: controllerId, token }, lease: sessionLease },
         { put: KEY.shard(shard), value: { ...record, holder: controllerId } },
       ],
-      true,
+      'urgent',
     );
     if (!result.ok) return 'refused';
     // The tables are built from a view that holds everything the owner before us could have acted on.
--- a/src/coordination/routes.ts
+++ b/src/coordination/routes.ts
@@ -3,28 +3,14 @@
 import type { Log } from '../base/log';
 import { SubmissionDeferred } from '../bookkeeping/admission-policy';
 import { UnknownDependency } from '../bookkeeping/job-store';
-import type { Job, MachineType } from '../protocol/model';
-import { JOB_ID, readSubmission, typeAllows, writeStanding, writeStatus } from '../protocol/users';
+import { JOB_ID, readSubmission, writeJobState, writeStatus } from '../protocol/users';
 import { readHeartbeat, writeRedirect, writeHeartbeatResponse } from '../protocol/workers';
 import type { HttpReply, Route } from '../transport/http-server';
 import type { Controller, HeartbeatResponse } from './controller';
+import { findInfeasibility } from './feasibility';
 
 const RETRY_AFTER_S = 1;
 
-/** What can never run, and why; undefined when the job can. */
-export function whyNever(
-  job: Job,
-  types: readonly MachineType[],
-  teams: readonly { name: string; cpus_max: number; gpus_max: number }[],
-): string | undefined {
-  const team = teams.find((t) => t.name === job.team);
-  if (!team) return 'unknown team';
-  if (!types.some((type) => typeAllows(job, type))) return 'a task fits no allowed machine type';
-  if (team.cpus_max > 0 && job.cpus > team.cpus_max) return "a task needs more CPUs than the team's limit";
-  if (team.gpus_max > 0 && job.gpus > team.gpus_max) return "a task needs more GPUs than the team's limit";
-  return undefined;
-}
-
 function toWorker(answer: HeartbeatResponse): HttpReply {
   if (answer.kind === 'accepted') {
     return { status: 200, body: writeHeartbeatResponse(answer.fencingToken, answer.commands) };
@@ -90,12 +76,12 @@
         }
         const { job } = submission;
         if (node.types.length === 0 || !node.eventLoopDelay.allowsSubmissions) return undecided();
-        const never = whyNever(job, node.types, teams);
+        const never = findInfeasibility(job, node.types, teams);
         if (never !== undefined) return knownOr(job.id, refused(422, never));
         const { isNew, status } = await traceSubmission(job, () => node.jobs.accept(job));
         if (!isNew) return { status: 200, body: writeStatus(node.withProgress(status)) };
         log.info({ job: job.id, jobClass: job.jobClass, team: job.team, tasks: job.tasks }, 'job accepted');
-        return { status: 201, body: writeStanding(job.id, status.state) };
+        return { status: 201, body: writeJobState(job.id, status.state) };
       }),
     },
     {
@@ -118,7 +104,7 @@
         const status = JOB_ID.test(id) ? await node.cancel(id) : undefined;
         if (!status) return { status: 404, body: { error: 'no such job' } };
         if (status.state === 'cancelled') log.info({ job: id }, 'job cancelled');
-        return { status: 200, body: writeStanding(id, status.state) };
+        return { status: 200, body: writeJobState(id, status.state) };
       }),
     },
     {
--- /dev/null
+++ b/src/protocol/http-key-value-store.ts
@@ -0,0 +1,212 @@
+/** @file The key-value store over HTTP, inside this controller's share of its rate limits. */
+import * as z from 'zod';
+import {
+  ResponseTooLargeError,
+  NoResponseError,
+  type HttpResponse,
+  type HttpCaller,
+} from '../transport/http-client';
+import type { RateLimit } from '../transport/rate-limit';
+import {
+  LeaseExpiredError,
+  StoreRejectedError,
+  type Change,
+  type ChangeEvent,
+  type ChangeList,
+  type CompareAndSwapResult,
+  type Condition,
+  type Entry,
+  type EntryPage,
+  type KeyValueStore,
+  type RequestPriority,
+} from './key-value-store';
+
+const revision = z.int().min(0);
+const entrySchema = z.object({ path: z.string(), data: z.unknown(), stamp: revision });
+const missingSchema = z.object({ ledger: revision });
+const listSchema = z.object({ entries: z.array(entrySchema), hasNext: z.boolean(), ledger: revision });
+const swappedSchema = z.object({ ledger: revision });
+const notSwappedSchema = z.object({ failed: z.array(z.string()), ledger: revision });
+const leaseSchema = z.object({ hold: z.int() });
+const changeSchema = z.union([
+  z.object({ set: z.string(), data: z.unknown(), stamp: revision }),
+  z.object({ delete: z.string(), stamp: revision }),
+]);
+const changesSchema = z.object({ ledger: revision, news: z.array(changeSchema) });
+
+const STATUS_OK = 200;
+const STATUS_BAD_REQUEST = 400;
+const STATUS_NOT_FOUND = 404;
+const STATUS_CONFLICT = 409;
+const STATUS_GONE = 410;
+const STATUS_TOO_MANY_REQUESTS = 429;
+const STATUS_UNAVAILABLE = 503;
+
+const ENTRIES_PER_PAGE = 500;
+/** A longer wait for a turn inside the limits is refused: users, above all, never queue without being seen. */
+const MAX_WAIT_FOR_TURN_MS = 1_000;
+
+/** What the client is given. */
+export interface HttpKeyValueStoreOptions {
+  readonly http: HttpCaller;
+  /** IP:PORT of the service. */
+  readonly address: string;
+  /** This controller's share of the limit on requests. */
+  readonly requests: RateLimit;
+  /** This controller's share of the limit on changes (puts and deletes). */
+  readonly writes: RateLimit;
+  readonly timeoutMs: number;
+}
+
+/**
+ * The key-value store over HTTP. Requests and changes each stay inside this controller's share of the limits; urgent
+ * requests (lease renewals, cancellations) go ahead of the others.
+ */
+export class HttpKeyValueStore implements KeyValueStore {
+  #isUnavailable = false;
+
+  constructor(private readonly options: HttpKeyValueStoreOptions) {}
+
+  get isUnavailable(): boolean {
+    return this.#isUnavailable;
+  }
+
+  async get(key: string): Promise<Entry | null> {
+    await this.options.requests.take(1, MAX_WAIT_FOR_TURN_MS);
+    const response = await this.#call('GET', `/store/${key}`, undefined);
+    if (response.status === STATUS_NOT_FOUND) {
+      // Only the store's own body proves that a key does not exist: on less, an accepted job would be called unknown.
+      check(response.body, missingSchema);
+      return null;
+    }
+    return toEntry(parse(response, entrySchema));
+  }
+
+  async list(prefix: string, after?: string): Promise<EntryPage> {
+    await this.options.requests.take();
+    const since = after === undefined ? '' : `&since=${encodeURIComponent(after)}`;
+    const path = `/store?prefix=${encodeURIComponent(prefix)}${since}&limit=${ENTRIES_PER_PAGE}`;
+    const page = parse(await this.#call('GET', path, undefined), listSchema);
+    return { entries: page.entries.map(toEntry), more: page.hasNext, revision: page.ledger };
+  }
+
+  async compareAndSwap(
+    conditions: Condition[],
+    changes: Change[],
+    priority: RequestPriority = 'normal',
+  ): Promise<CompareAndSwapResult> {
+    const { requests, writes } = this.options;
+    if (priority === 'urgent') {
+      requests.takeNow();
+      writes.takeNow(changes.length);
+    } else {
+      await writes.take(changes.length, MAX_WAIT_FOR_TURN_MS);
+      await requests.take();
+    }
+    const response = await this.#call('POST', '/txn', {
+      guards: conditions.map(({ key, version }) => ({ path: key, stamp: version })),
+      apply: changes.map(writeChange),
+    });
+    if (response.status === STATUS_CONFLICT) {
+      const { failed, ledger } = check(response.body, notSwappedSchema);
+      return { ok: false, failed, revision: ledger };
+    }
+    if (isLeaseExpired(response)) throw new LeaseExpiredError('the lease of a change has ended');
+    return { ok: true, revision: parse(response, swappedSchema).ledger };
+  }
+
+  async grantLease(ttlMs: number): Promise<number> {
+    this.options.requests.takeNow();
+    return parse(await this.#call('POST', '/grants', { ttlMs }), leaseSchema).hold;
+  }
+
+  async renewLease(lease: number): Promise<boolean> {
+    this.options.requests.takeNow();
+    const response = await this.#call('POST', `/grants/${lease}/extend`, {});
+    if (response.status === STATUS_NOT_FOUND) return false;
+    parse(response, z.unknown());
+    return true;
+  }
+
+  async revokeLease(lease: number): Promise<void> {
+    this.options.requests.takeNow();
+    const response = await this.#call('DELETE', `/grants/${lease}`, undefined);
+    if (response.status !== STATUS_NOT_FOUND) parse(response, z.unknown());
+  }
+
+  async changes(prefix: string, since: number, waitMs: number): Promise<ChangeList | undefined> {
+    const { requests, timeoutMs } = this.options;
+    requests.takeNow();
+    const path = `/changes?prefix=${encodeURIComponent(prefix)}&since=${since}&holdMs=${waitMs}`;
+    const response = await this.#callForChanges(path, waitMs + timeoutMs);
+    if (!response || response.status === STATUS_GONE) return undefined;
+    const { ledger, news } = parse(response, changesSchema);
+    return { revision: ledger, events: news.map(toChangeEvent) };
+  }
+
+  /**
+   * Undefined: the response, whose size has no bound, is larger than a controller reads. Asked for once more it would
+   * only have grown, and the controller would never see another change.
+   */
+  async #callForChanges(path: string, timeoutMs: number): Promise<HttpResponse | undefined> {
+    try {
+      return await this.#call('GET', path, undefined, timeoutMs);
+    } catch (error) {
+      if (error instanceof ResponseTooLargeError) return undefined;
+      throw error;
+    }
+  }
+
+  async #call(
+    method: string,
+    path: string,
+    body: unknown,
+    timeoutMs = this.options.timeoutMs,
+  ): Promise<HttpResponse> {
+    const { http, address } = this.options;
+    try {
+      const response = await http.call(address, method, path, body, timeoutMs);
+      this.#isUnavailable = response.status === STATUS_UNAVAILABLE;
+      return response;
+    } catch (error) {
+      this.#isUnavailable = !(error instanceof ResponseTooLargeError);
+      throw error;
+    }
+  }
+}
+
+function toEntry(wire: z.infer<typeof entrySchema>): Entry {
+  return { key: wire.path, value: wire.data, version: wire.stamp };
+}
+
+function toChangeEvent(wire: z.infer<typeof changeSchema>): ChangeEvent {
+  return 'set' in wire
+    ? { key: wire.set, version: wire.stamp, value: wire.data, deleted: false }
+    : { key: wire.delete, version: wire.stamp, deleted: true };
+}
+
+function writeChange(change: Change): Record<string, unknown> {
+  if ('delete' in change) return { delete: change.delete };
+  const fields = { set: change.put, data: change.value };
+  return change.lease === undefined ? fields : { ...fields, hold: change.lease };
+}
+
+function isLeaseExpired({ status, body }: HttpResponse): boolean {
+  return status === STATUS_BAD_REQUEST && (body as { error?: unknown } | null)?.error === 'no such lease';
+}
+
+/** Checks the status of a response, and its body. */
+function parse<T>({ status, body }: HttpResponse, schema: z.ZodType<T>): T {
+  if (status === STATUS_UNAVAILABLE || status === STATUS_TOO_MANY_REQUESTS) {
+    throw new StoreRejectedError(`state service: ${status}`);
+  }
+  if (status !== STATUS_OK) throw new NoResponseError(`state service: status ${status}`, true);
+  return check(body, schema);
+}
+
+/** Checks the body of a response whose status was looked at already. */
+function check<T>(body: unknown, schema: z.ZodType<T>): T {
+  const parsed = schema.safeParse(body);
+  if (parsed.success) return parsed.data;
+  throw new NoResponseError('state service: malformed answer', true, { cause: parsed.error });
+}
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -1,11 +1,14 @@
-/** @file Messages between controllers: their types, and their encoding with protobuf (`peer.proto`). */
+/**
+ * @file Messages between controllers: their types, and their encoding with protobuf (`peer.proto`). All of them are hints:
+ * the key-value store alone decides.
+ */
 import * as protobuf from 'protobufjs';
 import { readPeerView, writePeerView, type PeerView } from './peer-view';
 import definition from './peer.proto';
 import { codec } from './codec';
 import type { ChangeEvent } from './key-value-store';
 
-/** How far a live job is, for display. */
+/** The progress of a live job, for display: numbers of its tasks. */
 export interface JobProgress {
   id: string;
   running: number;
@@ -15,13 +18,16 @@
 /** The owner of a shard that can't reach the key-value store asks its peers to extend its lease. */
 export interface LeaseExtensionRequest {
   from: string;
-  /** Counts the requests of this sender. */
+  /** Numbers the requests of this sender. */
   number: number;
-  /** How far the sender's view of the records reaches. */
+  /** The revision up to which the sender has seen the records. */
   revision: number;
 }
 
-/** The sender will acquire no shard for a while, and names jobs that the requester may not know to have ended. */
+/**
+ * The sender won't acquire a shard until the extension ends. It lists jobs that ended by revisions which the requester may
+ * not have seen.
+ */
 export interface LeaseExtensionGrant {
   from: string;
   to: string;
@@ -38,11 +44,11 @@
   jobs: JobProgress[];
   /** Shards that the sender owns and most of whose workers don't reach it. */
   unreachableShards: number[];
-  /** Machines of other owners' shards whose heartbeats came to the sender lately, by shard. */
+  /** By shard of another owner, how many of its machines sent a heartbeat to the sender of late. */
   redirected: { shard: number; machines: number }[];
-  /** Absent with suspicion off at the sender, and from versions that know none. */
+  /** Absent where suspicion is off at the sender, and from versions without it. */
   view?: PeerView;
-  /** The message held a view that can't be read. */
+  /** Set by the reader: the message held a view that is malformed. */
   isViewMalformed?: boolean;
 }
 
@@ -56,18 +62,27 @@
 /** A heartbeat as protobuf has it. */
 type EncodedHeartbeat = Omit<PeerHeartbeat, 'view'> & { view: unknown };
 
-/** A peer message as protobuf has it: one of the fields is there. */
+/** A change notification as protobuf has it. */
+interface EncodedNotification {
+  key: string;
+  version: number;
+  deleted: boolean;
+  /** MessagePack; empty for a deletion. */
+  value: Uint8Array;
+}
+
+/** A peer message as protobuf has it: one of the fields is present. */
 interface EncodedMessage {
-  changeNotification: { key: string; version: number; deleted: boolean; value: Uint8Array } | null;
+  changeNotification: EncodedNotification | null;
   heartbeat: EncodedHeartbeat | null;
   leaseExtensionRequest: LeaseExtensionRequest | null;
   leaseExtensionGrant: LeaseExtensionGrant | null;
 }
 
-const type = protobuf.parse(definition).root.lookupType('PeerMessage');
+const messageType = protobuf.parse(definition).root.lookupType('PeerMessage');
 
 function encode(message: object): Uint8Array {
-  return type.encode(type.fromObject(message)).finish();
+  return messageType.encode(messageType.fromObject(message)).finish();
 }
 
 function encodeNotification({ key, version, deleted, value }: ChangeEvent): Uint8Array {
@@ -80,7 +95,7 @@
   return encode({ heartbeat: fields });
 }
 
-/** The message as the bytes of a frame. */
+/** Encodes a message as the content of a frame. */
 export function writePeerMessage(message: PeerMessage): Uint8Array {
   switch (message.kind) {
     case 'change notification':
@@ -100,21 +115,23 @@
   return view ? { ...heartbeat, view } : { ...heartbeat, isViewMalformed: true };
 }
 
-/** Reads a peer's message; undefined when it is none of ours. */
+function readNotification({ key, version, deleted, value }: EncodedNotification): ChangeEvent {
+  return deleted ? { key, version, deleted } : { key, version, deleted, value: codec.decode(value) };
+}
+
+function toMessage(encoded: EncodedMessage): PeerMessage | undefined {
+  const { changeNotification, heartbeat, leaseExtensionRequest, leaseExtensionGrant } = encoded;
+  if (leaseExtensionRequest) return { kind: 'lease extension request', request: leaseExtensionRequest };
+  if (leaseExtensionGrant) return { kind: 'lease extension grant', grant: leaseExtensionGrant };
+  if (changeNotification) return { kind: 'change notification', event: readNotification(changeNotification) };
+  return heartbeat ? { kind: 'heartbeat', heartbeat: readHeartbeat(heartbeat) } : undefined;
+}
+
+/** Reads a peer's message; undefined when it is malformed, or of a kind that this version doesn't know. */
 export function readPeerMessage(bytes: Uint8Array): PeerMessage | undefined {
   try {
-    const message = type.toObject(type.decode(bytes), { longs: Number, defaults: true }) as EncodedMessage;
-    const { changeNotification, heartbeat, leaseExtensionRequest, leaseExtensionGrant } = message;
-    if (leaseExtensionRequest) return { kind: 'lease extension request', request: leaseExtensionRequest };
-    if (leaseExtensionGrant) return { kind: 'lease extension grant', grant: leaseExtensionGrant };
-    if (changeNotification) {
-      const { key, version, deleted, value } = changeNotification;
-      const event: ChangeEvent = deleted
-        ? { key, version, deleted }
-        : { key, version, deleted, value: codec.decode(value) };
-      return { kind: 'change notification', event };
-    }
-    return heartbeat ? { kind: 'heartbeat', heartbeat: readHeartbeat(heartbeat) } : undefined;
+    const encoded = messageType.toObject(messageType.decode(bytes), { longs: Number, defaults: true });
+    return toMessage(encoded as EncodedMessage);
   } catch {
     return undefined;
   }
--- a/src/protocol/users.ts
+++ b/src/protocol/users.ts
@@ -1,15 +1,21 @@
+/** @file The protocol between users and controllers: submissions and the status of jobs. */
 import * as z from 'zod';
 import { decodeMap } from './codec';
-import type { Job, JobState, JobStatus, MachineType } from './model';
+import type { Job, JobState, JobStatus } from './model';
 
 const MAX_TASKS = 100_000;
-/** Of what a job waits for, an answer lists this many. */
+/** A status lists at most this many unfinished dependencies. */
 const MAX_LISTED_DEPENDENCIES = 100;
+
+/** The form of a job id. */
+export const JOB_ID = /^req-[0-9]{1,32}$/;
+
 const amount = z.number().min(0).max(1e9);
 const text = z.string().min(1).max(200);
+const jobId = z.string().regex(JOB_ID);
 
-const submission = z.object({
-  nameId: z.string().regex(/^req-[0-9]{1,32}$/),
+const submissionSchema = z.object({
+  nameId: jobId,
   docket: text,
   crew: text,
   shape: z.literal('sweep'),
@@ -31,11 +37,18 @@
   dueS: amount.nullish(),
 });
 
-const dependencyList = z.array(z.string().regex(/^req-[0-9]{1,32}$/)).nullish();
+const dependenciesSchema = z.array(jobId).nullish();
 
+/** Priorities by their word on the wire. */
 const PRIORITIES = { prod: 'production', urgent: 'high', normal: 'normal', best_effort: 'low' } as const;
 
-export const JOB_ID = /^req-[0-9]{1,32}$/;
+/** The words on the wire for the states of a job. */
+const STANDINGS: Record<JobState, string> = {
+  queued: 'pending',
+  running: 'running',
+  done: 'done',
+  cancelled: 'withdrawn',
+};
 
 /** A submission as it was read. */
 export type Submission =
@@ -54,10 +67,10 @@
 export function readSubmission(body: Uint8Array): Submission {
   const map = decodeMap(body);
   if (!map) return { kind: 'invalid', error: 'the body is not a MessagePack map' };
-  const parsed = submission.safeParse(map);
+  const parsed = submissionSchema.safeParse(map);
   if (!parsed.success) return { kind: 'invalid', error: firstIssue(parsed.error) };
   const job = toJob(parsed.data);
-  const dependencies = dependencyList.safeParse(map.awaits);
+  const dependencies = dependenciesSchema.safeParse(map.awaits);
   if (!dependencies.success) {
     return { kind: 'invalid dependencies', id: job.id, error: firstIssue(dependencies.error, 'awaits') };
   }
@@ -65,60 +78,44 @@
   return { kind: 'valid', job: distinct.length === 0 ? job : { ...job, dependencies: distinct } };
 }
 
-function toJob(s: z.infer<typeof submission>): Job {
+function toJob(wire: z.infer<typeof submissionSchema>): Job {
   return {
-    id: s.nameId,
-    jobClass: s.docket,
-    team: s.crew,
-    priority: PRIORITIES[s.urgency],
-    tasks: s.pieces,
-    cpus: s.cpus,
-    gpus: s.cards,
-    memoryGb: s.memGb,
-    types: s.frames ?? null,
-    zone: s.yard ?? null,
-    oneZone: s.together,
-    spread: s.apart,
-    spot: s.loaners,
-    image: s.build,
-    imageGb: s.sizeGb,
-    estimateS: s.reckonS,
-    checkpointS: s.bookmarkS,
-    saveS: s.stashS,
-    deadlineS: s.dueS ?? null,
+    id: wire.nameId,
+    jobClass: wire.docket,
+    team: wire.crew,
+    priority: PRIORITIES[wire.urgency],
+    tasks: wire.pieces,
+    cpus: wire.cpus,
+    gpus: wire.cards,
+    memoryGb: wire.memGb,
+    types: wire.frames ?? null,
+    zone: wire.yard ?? null,
+    oneZone: wire.together,
+    spread: wire.apart,
+    spot: wire.loaners,
+    image: wire.build,
+    imageGb: wire.sizeGb,
+    estimateS: wire.reckonS,
+    checkpointS: wire.bookmarkS,
+    saveS: wire.stashS,
+    deadlineS: wire.dueS ?? null,
   };
 }
 
-const STANDINGS: Record<JobState, string> = {
-  queued: 'pending',
-  running: 'running',
-  done: 'done',
-  cancelled: 'withdrawn',
-};
-
+/** The body of a response that tells a job's status. */
 export function writeStatus(status: JobStatus): Record<string, unknown> {
-  return {
+  const fields = {
     nameId: status.id,
     standing: STANDINGS[status.state],
     done: status.done,
     running: status.running,
-    ...(status.unfinishedDependencies?.length
-      ? { awaits: status.unfinishedDependencies.slice(0, MAX_LISTED_DEPENDENCIES) }
-      : {}),
   };
+  const unfinished = status.unfinishedDependencies ?? [];
+  if (unfinished.length === 0) return fields;
+  return { ...fields, awaits: unfinished.slice(0, MAX_LISTED_DEPENDENCIES) };
 }
 
-export function writeStanding(id: string, state: JobState): Record<string, unknown> {
+/** The body of a response that tells a job's state alone. */
+export function writeJobState(id: string, state: JobState): Record<string, unknown> {
   return { nameId: id, standing: STANDINGS[state] };
 }
-
-/** Whether a task of the job fits a machine of this type, in some zone that the job allows. */
-export function typeAllows(job: Job, type: MachineType): boolean {
-  return (
-    job.cpus <= type.cpus &&
-    job.gpus <= type.gpus &&
-    job.memoryGb <= type.memoryGb &&
-    (job.types === null || job.types.includes(type.name)) &&
-    (job.zone === null || type.zones.includes(job.zone))
-  );
-}
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -1,14 +1,19 @@
+/** @file The protocol between workers and controllers: heartbeats, their responses, and commands. */
 import * as z from 'zod';
 import { decodeMap } from './codec';
-import type { AttemptPhase, ExitCause, WorkerCommand, WorkerHeartbeat } from './model';
+import type { AttemptPhase, ExitCause, ReportedAttempt, WorkerCommand, WorkerHeartbeat } from './model';
 
 const count = z.int().min(0);
+
+/** Phases by their word on the wire. */
 const PHASES: Record<string, AttemptPhase> = {
   fetching: 'fetching',
   running: 'running',
   flushing: 'checkpointing',
   ended: 'exited',
 };
+
+/** Exit causes by their word on the wire. */
 const CAUSES: Record<string, ExitCause> = {
   done: 'done',
   halted: 'stopped',
@@ -18,6 +23,17 @@
   unknown: 'unknown',
 };
 
+/** The words on the wire for the commands. */
+const VERBS = { start: 'run', stop: 'halt', forget: 'reap' } as const;
+
+const attemptSchema = z.object({
+  piece: z.string().regex(/^[^/\s]+\/[0-9]{1,9}$/),
+  try: count,
+  standing: z.string(),
+  cause: z.string().nullish(),
+  stored: z.boolean().nullish(),
+});
+
 const heartbeatSchema = z.object({
   hearth: z.string().min(1).max(150),
   endpoint: z.string().regex(/^[0-9.]+:[0-9]{1,5}$/),
@@ -28,79 +44,80 @@
   tally: count,
   baton: count,
   warningS: z.number().min(0).nullish(),
-  pieces: z.array(
-    z.object({
-      piece: z.string().regex(/^[^/\s]+\/[0-9]{1,9}$/),
-      try: count,
-      standing: z.string(),
-      cause: z.string().nullish(),
-      stored: z.boolean().nullish(),
-    }),
-  ),
+  pieces: z.array(attemptSchema),
 });
 
-/** Reads a worker's report, whole or not at all: a malformed one must not touch any table. */
+function toAttempt(wire: z.infer<typeof attemptSchema>): ReportedAttempt {
+  const slash = wire.piece.lastIndexOf('/');
+  const phase = PHASES[wire.standing] ?? 'running';
+  return {
+    job: wire.piece.slice(0, slash),
+    task: Number(wire.piece.slice(slash + 1)),
+    attempt: wire.try,
+    phase,
+    // An exit whose cause this version doesn't know is a failure like any other.
+    cause: phase === 'exited' ? (CAUSES[wire.cause ?? ''] ?? 'error') : null,
+    hasCheckpoint: wire.stored ?? false,
+  };
+}
+
+/** Checks a decoded heartbeat, whole or not at all: a malformed one must not change any table. */
 export function parseHeartbeat(value: unknown): WorkerHeartbeat | undefined {
   const parsed = heartbeatSchema.safeParse(value);
   if (!parsed.success) return undefined;
-  const r = parsed.data;
+  const wire = parsed.data;
   return {
-    machine: r.hearth,
-    address: r.endpoint,
-    type: r.frame,
-    zone: r.yard,
-    spot: r.loaners,
-    incarnation: r.shift,
-    sequence: r.tally,
-    fencingToken: r.baton,
-    spotNoticeS: r.warningS ?? null,
-    attempts: r.pieces.map((p) => {
-      const slash = p.piece.lastIndexOf('/');
-      const phase = PHASES[p.standing] ?? 'running';
-      return {
-        job: p.piece.slice(0, slash),
-        task: Number(p.piece.slice(slash + 1)),
-        attempt: p.try,
-        phase,
-        // An exit whose cause we don't know is a failure like any other.
-        cause: phase === 'exited' ? (CAUSES[p.cause ?? ''] ?? 'error') : null,
-        hasCheckpoint: p.stored ?? false,
-      };
-    }),
+    machine: wire.hearth,
+    address: wire.endpoint,
+    type: wire.frame,
+    zone: wire.yard,
+    spot: wire.loaners,
+    incarnation: wire.shift,
+    sequence: wire.tally,
+    fencingToken: wire.baton,
+    spotNoticeS: wire.warningS ?? null,
+    attempts: wire.pieces.map(toAttempt),
   };
 }
 
+/** Reads the body of a heartbeat; undefined when it is malformed. */
 export function readHeartbeat(body: Uint8Array): WorkerHeartbeat | undefined {
   const map = decodeMap(body);
   return map && parseHeartbeat(map);
 }
 
-const VERBS = { start: 'run', stop: 'halt', forget: 'reap' } as const;
+function writeCommand(command: WorkerCommand): Record<string, unknown> {
+  const fields = {
+    verb: VERBS[command.op],
+    piece: `${command.job}/${command.task}`,
+    try: command.attempt,
+  };
+  return command.op === 'stop' ? { ...fields, leewayS: command.graceS } : fields;
+}
 
-export function writeCommands(orders: readonly WorkerCommand[]): Record<string, unknown>[] {
-  return orders.map((order) => ({
-    verb: VERBS[order.op],
-    piece: `${order.job}/${order.task}`,
-    try: order.attempt,
-    ...(order.op === 'stop' ? { leewayS: order.graceS } : {}),
-  }));
+/** The commands as the worker takes them; it executes them in order. */
+export function writeCommands(commands: readonly WorkerCommand[]): Record<string, unknown>[] {
+  return commands.map(writeCommand);
 }
 
+/** The body of a response that renews the worker's lease, and carries commands. */
 export function writeHeartbeatResponse(
-  token: number,
-  orders: readonly WorkerCommand[],
+  fencingToken: number,
+  commands: readonly WorkerCommand[],
 ): Record<string, unknown> {
-  return { baton: token, orders: writeCommands(orders) };
+  return { baton: fencingToken, orders: writeCommands(commands) };
 }
 
+/** The body of a response that sends the worker to the owner of its shard, or to any other controller. */
 export function writeRedirect(owner: string | undefined): Record<string, unknown> {
   return owner === undefined ? {} : { foreman: owner };
 }
 
+/** The body of a request that sends commands straight to a worker; it executes them only in this incarnation. */
 export function writeCommandRequest(
-  token: number,
-  session: number,
-  orders: readonly WorkerCommand[],
+  fencingToken: number,
+  incarnation: number,
+  commands: readonly WorkerCommand[],
 ): Record<string, unknown> {
-  return { baton: token, shift: session, orders: writeCommands(orders) };
+  return { baton: fencingToken, shift: incarnation, orders: writeCommands(commands) };
 }
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -12,8 +12,9 @@
   constructor(
     message: string,
     readonly mayHaveExecuted: boolean,
+    options?: ErrorOptions,
   ) {
-    super(message);
+    super(message, options);
   }
 }
 
--- a/test/fixed-limits.test.ts
+++ b/test/fixed-limits.test.ts
@@ -9,7 +9,7 @@
 import { codec } from '../src/protocol/codec';
 import type { Cloud } from '../src/protocol/cloud';
 import { readPeerMessage, writePeerMessage } from '../src/protocol/peers';
-import { HttpKeyValueStore } from '../src/protocol/key-value-store';
+import { HttpKeyValueStore } from '../src/protocol/http-key-value-store';
 import {
   ResponseTooLargeError,
   HttpClient,
@@ -64,14 +64,13 @@
   await assert.rejects(client.call(address, 'GET', '/', undefined, 1000), ResponseTooLargeError);
   const clock = new FakeClock();
   const limit = (): RateLimit => new RateLimit(clock, 100, 100);
-  const store = new HttpKeyValueStore(client, address, limit(), limit(), 1000);
+  const storeOver = (http: HttpCaller): HttpKeyValueStore =>
+    new HttpKeyValueStore({ http, address, requests: limit(), writes: limit(), timeoutMs: 1000 });
+  const store = storeOver(client);
   assert.equal(await store.changes('live/', 1, 0), undefined);
   assert.equal(store.isUnavailable, false, 'the service is there');
   const cut: HttpCaller = { call: () => Promise.reject(new NoResponseError('cut off', true)) };
-  await assert.rejects(
-    new HttpKeyValueStore(cut, address, limit(), limit(), 1000).changes('live/', 1, 0),
-    NoResponseError,
-  );
+  await assert.rejects(storeOver(cut).changes('live/', 1, 0), NoResponseError);
 });
 
 test('progress of any number of jobs reaches the peers, in messages that fit a frame', () => {
--- a/test/format-gate.test.ts
+++ b/test/format-gate.test.ts
@@ -4,7 +4,8 @@
 import { FormatGate } from '../src/bookkeeping/format-gate';
 import { FORMAT, KEY, LIVE, RECORD_FORMAT } from '../src/bookkeeping/records';
 import { WatchCache } from '../src/bookkeeping/watch-cache';
-import { HttpKeyValueStore, StoreRejectedError } from '../src/protocol/key-value-store';
+import { HttpKeyValueStore } from '../src/protocol/http-key-value-store';
+import { StoreRejectedError } from '../src/protocol/key-value-store';
 import { RateLimit } from '../src/transport/rate-limit';
 import { FakeClock } from './fakes/clock';
 import { FakeStateService } from './fakes/state-service';
@@ -18,15 +19,15 @@
 class Deployment {
   readonly #clock = new FakeClock();
   readonly service = new FakeStateService(this.#clock);
-  readonly store = new HttpKeyValueStore(
-    {
+  readonly store = new HttpKeyValueStore({
+    http: {
       call: (to, method, path, body) => this.service.handle({ from: 'node', to, method, path, body }),
     },
-    'state',
-    new RateLimit(this.#clock, RATE, RATE),
-    new RateLimit(this.#clock, RATE, RATE),
-    TIMEOUT_MS,
-  );
+    address: 'state',
+    requests: new RateLimit(this.#clock, RATE, RATE),
+    writes: new RateLimit(this.#clock, RATE, RATE),
+    timeoutMs: TIMEOUT_MS,
+  });
 
   /** The gate of a controller whose copy of the records is as they are now, and stays so. */
   async gate(node: string): Promise<FormatGate> {
--- a/test/limited-service.ts
+++ b/test/limited-service.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { runLoop } from '../src/base/loop';
 import { WatchCache } from '../src/bookkeeping/watch-cache';
-import { HttpKeyValueStore } from '../src/protocol/key-value-store';
+import { HttpKeyValueStore } from '../src/protocol/http-key-value-store';
 import { RateLimit } from '../src/transport/rate-limit';
 import { FakeClock } from './fakes/clock';
 import { FakeNetwork } from './fakes/network';
@@ -53,7 +53,8 @@
   #newStore(writeRps: number): HttpKeyValueStore {
     const [requests, writes] = [NOW.rps, writeRps].map((rate) => new RateLimit(this.clock, rate, rate));
     assert(requests && writes);
-    return new HttpKeyValueStore(this.network.caller('node-0'), '10.2.0.1:2379', requests, writes, 1500);
+    const http = this.network.caller('node-0');
+    return new HttpKeyValueStore({ http, address: '10.2.0.1:2379', requests, writes, timeoutMs: 1500 });
   }
 
   /** A copy that is read anew. */
--- a/test/suspicion-messages.test.ts
+++ b/test/suspicion-messages.test.ts
@@ -6,7 +6,7 @@
 import { WatchCache } from '../src/bookkeeping/watch-cache';
 import type { PeerView } from '../src/protocol/peer-view';
 import { readPeerMessage, writePeerMessage, type PeerHeartbeat } from '../src/protocol/peers';
-import { HttpKeyValueStore } from '../src/protocol/key-value-store';
+import { HttpKeyValueStore } from '../src/protocol/http-key-value-store';
 import { Suspicion } from '../src/suspicion/suspicion';
 import { FakeClock } from './fakes/clock';
 import { World } from './fakes/world';
@@ -72,7 +72,13 @@
   const unreachable = { call: () => new Promise<never>(() => undefined) };
   const limit = new RateLimit(clock, 100, 100);
   const cache = new WatchCache(
-    new HttpKeyValueStore(unreachable, 'state', limit, limit, 1_000),
+    new HttpKeyValueStore({
+      http: unreachable,
+      address: 'state',
+      requests: limit,
+      writes: limit,
+      timeoutMs: 1_000,
+    }),
     LIVE,
     clock,
     1_000,
