--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -48,7 +48,6 @@
 const notYet = {
   'max-lines': ['src/coordination/scheduling/scheduler.ts', 'test/walk.ts'],
   'max-lines-per-function': [
-    'src/cli/serve.ts',
     'src/coordination/shard/machine.ts',
     'src/coordination/scheduling/placement.ts',
     'src/coordination/scheduling/scheduler.ts',
@@ -65,28 +64,17 @@
     'src/bookkeeping/session.ts',
     'src/bookkeeping/watch-cache.ts',
     'src/coordination/shard/machine.ts',
-    'src/main.ts',
   ],
   'jsdoc/require-jsdoc': [
-    'src/base/clock.ts',
-    'src/base/random.ts',
-    'src/base/settings.ts',
     'src/bookkeeping/records.ts',
-    'src/cli/program.ts',
     'src/coordination/scheduling/eager.ts',
     'src/coordination/shard/machine.ts',
   ],
   'jsdoc/require-file-overview': [
-    'src/base/clock.ts',
-    'src/base/random.ts',
-    'src/base/settings.ts',
-    'src/base/sockets.ts',
     'src/bookkeeping/bitmap.ts',
     'src/bookkeeping/shard-count.ts',
     'src/bookkeeping/ended-jobs.ts',
     'src/bookkeeping/records.ts',
-    'src/cli/program.ts',
-    'src/cli/serve.ts',
     'src/coordination/shard/attempt-manager.ts',
     'src/coordination/shard/shard-owner.ts',
     'src/coordination/shard/shard.ts',
@@ -99,7 +87,6 @@
     'src/coordination/shard/completion-recorder.ts',
     'src/coordination/scheduling/scheduler.ts',
     'src/coordination/ownership/fencing-token-raiser.ts',
-    'src/main.ts',
   ],
 };
 
--- a/src/admission/options.ts
+++ b/src/admission/options.ts
@@ -1,6 +1,7 @@
 /** @file The operators' settings of admission: the table `[admission]` of their options file. */
 import * as z from 'zod';
-import { SettingsError, type Settings } from '../base/settings';
+import { readOperatorTable } from '../base/operator-table';
+import type { Settings } from '../base/settings';
 import { effectiveWeights, type TeamGuarantee, type Weights } from './entitlements';
 
 const weight = z.number().positive().max(1e6);
@@ -37,30 +38,20 @@
 }
 
 /** Reads and checks the table; undefined when admission is off. Throws `SettingsError` with the file and the key. */
-export function readAdmissionOptions({
-  operator,
-  operatorFile,
-  platform,
-}: Settings): AdmissionOptions | undefined {
-  if (operator.admission === undefined) return undefined;
-  const parsed = admissionSchema.safeParse(operator.admission);
-  if (!parsed.success) {
-    const issue = parsed.error.issues[0];
-    const path = ['admission', ...(issue?.path ?? [])].join('.');
-    throw new SettingsError(`${operatorFile}: ${path}: ${issue?.message ?? 'invalid'}`);
-  }
-  const { objectives, teams } = platform.deployment;
-  const classes = objectives.map((objective) => objective.class);
-  const problem =
-    thresholdProblem(parsed.data) ??
-    unknownName('class_weights', parsed.data, classes) ??
-    unknownName(
-      'team_weights',
-      parsed.data,
-      teams.map(({ name }) => name),
-    );
-  if (problem !== undefined) throw new SettingsError(`${operatorFile}: admission.${problem}`);
-  return parsed.data.enabled ? toOptions(parsed.data, teams) : undefined;
+export function readAdmissionOptions(settings: Settings): AdmissionOptions | undefined {
+  const { objectives, teams } = settings.platform.deployment;
+  const classNames = objectives.map((objective) => objective.class);
+  const teamNames = teams.map((team) => team.name);
+  const table = readOperatorTable(
+    'admission',
+    settings,
+    admissionSchema,
+    (checked) =>
+      thresholdProblem(checked) ??
+      unknownName('class_weights', checked, classNames) ??
+      unknownName('team_weights', checked, teamNames),
+  );
+  return table?.enabled ? toOptions(table, teams) : undefined;
 }
 
 function thresholdProblem({ enter_s, leave_s }: AdmissionTable): string | undefined {
--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -1,3 +1,4 @@
+/** @file Time, and a signal that wakes a loop ahead of its time. */
 import { performance } from 'node:perf_hooks';
 import { setTimeout as delay } from 'node:timers/promises';
 
@@ -8,9 +9,11 @@
 export interface Clock {
   now(): number;
   date(): Date;
+  /** Resolves after the time, or as soon as the signal is aborted. */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
+/** The clock of the system. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   date: () => new Date(),
@@ -27,32 +30,35 @@
  * timer and the error of its end cost more than what the wake was for (docs/PERFORMANCE.md).
  */
 export class WakeSignal {
-  #woken = false;
+  #isWoken = false;
+  #isSleeping = false;
+  /** Ends the present wait. */
   #resolve: (() => void) | undefined;
-  #sleeping = false;
 
   constructor(private readonly clock: Clock) {}
 
+  /** Ends the present wait, or the next one at once. */
   wake(): void {
-    this.#woken = true;
+    this.#isWoken = true;
     this.#resolve?.();
   }
 
+  /** Waits to be woken; for one caller at a time. */
   async wait(ms: number): Promise<void> {
-    if (!this.#woken) {
-      if (!this.#sleeping) void this.#sleep(ms);
+    if (!this.#isWoken) {
+      if (!this.#isSleeping) void this.#sleep(ms);
       await new Promise<void>((resolve) => {
         this.#resolve = resolve;
       });
       this.#resolve = undefined;
     }
-    this.#woken = false;
+    this.#isWoken = false;
   }
 
   async #sleep(ms: number): Promise<void> {
-    this.#sleeping = true;
+    this.#isSleeping = true;
     await this.clock.sleep(ms);
-    this.#sleeping = false;
+    this.#isSleeping = false;
     this.#resolve?.();
   }
 }
--- a/src/base/event-loop-delay.ts
+++ b/src/base/event-loop-delay.ts
@@ -1,21 +1,21 @@
 /** @file Measures how late the event loop runs, and says what work to shed under overload. */
 import type { Clock } from './clock';
 
-const PROBE_MS = 100;
+const PROBE_INTERVAL_MS = 100;
 /** Share of the earlier delay that the next measurement keeps: one quick turn does not mean that the overload is over. */
 const DECAY = 0.7;
 /** From this delay on consolidation and eager re-issue are shed. */
 const SHED_OPTIMIZATION_MS = 250;
-/** From this delay on no machines are rented. */
+/** From this delay on there is no scale-out. */
 const SHED_SCALE_OUT_MS = 1_000;
 /** From this delay on submissions are refused: users wait 5 s for an answer, and would get it late anyway. */
 const SHED_SUBMISSIONS_MS = 2_000;
 
 /**
  * The event-loop delay of this process: by how much a timer fires after its time. When the process gets too little of
- * a core, load is shed in this order: work that only saves money or time (consolidation, eager re-issue), then renting,
+ * a core, load is shed in this order: work that only saves money or time (consolidation, eager re-issue), then scale-out,
  * then new submissions, which are answered at once with the time after which to retry. Placement rounds are bounded by
- * their time budget. Lease renewals, workers' reports, commands, the health endpoint `/up` and peer messages are never
+ * their time budget. Lease renewals, workers' heartbeats, commands, the health endpoint `/up` and peer messages are never
  * shed.
  */
 export class EventLoopDelay {
@@ -25,9 +25,9 @@
 
   /** One probe; to be run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
-    const from = this.clock.now();
-    await this.clock.sleep(PROBE_MS, signal);
-    this.#delayMs = Math.max(this.clock.now() - from - PROBE_MS, this.#delayMs * DECAY);
+    const startedAt = this.clock.now();
+    await this.clock.sleep(PROBE_INTERVAL_MS, signal);
+    this.#delayMs = Math.max(this.clock.now() - startedAt - PROBE_INTERVAL_MS, this.#delayMs * DECAY);
   }
 
   /** The latest delay, which decays after an overload. */
@@ -40,7 +40,7 @@
     return this.#delayMs < SHED_OPTIMIZATION_MS;
   }
 
-  /** Whether there is time for renting machines. */
+  /** Whether there is time for scale-out. */
   get allowsScaleOut(): boolean {
     return this.#delayMs < SHED_SCALE_OUT_MS;
   }
--- /dev/null
+++ b/src/base/operator-table.ts
@@ -0,0 +1,22 @@
+/** @file Tables of the operators' file that belong to one package each. */
+import type * as z from 'zod';
+import type { Settings } from './settings';
+import { checkSettings, SettingsError } from './settings-schema';
+
+/**
+ * Reads and checks a table; undefined where the file has none. `findProblem` returns the key at fault and what is wrong
+ * with it, where values don't go together. Throws `SettingsError` with the file and the key.
+ */
+export function readOperatorTable<T>(
+  name: 'admission' | 'suspicion',
+  { operator, operatorFile }: Pick<Settings, 'operator' | 'operatorFile'>,
+  schema: z.ZodType<T>,
+  findProblem: (table: T) => string | undefined,
+): T | undefined {
+  const value = operator[name];
+  if (value === undefined) return undefined;
+  const table = checkSettings(schema, value, operatorFile, [name]);
+  const problem = findProblem(table);
+  if (problem !== undefined) throw new SettingsError(`${operatorFile}: ${name}.${problem}`);
+  return table;
+}
--- a/src/base/random.ts
+++ b/src/base/random.ts
@@ -1,11 +1,15 @@
+/** @file Randomness. */
 import { randomBytes } from 'node:crypto';
 
-/** Randomness as the service uses it; injected so that stories repeat. */
+const NAME_BYTES = 12;
+
+/** Randomness as the service uses it; injected so that simulations repeat. */
 export interface Random {
-  /** A name that is never given twice, by any node. */
+  /** A name that no controller ever gives twice. */
   uniqueName(): string;
 }
 
+/** The randomness of the system. */
 export const systemRandom: Random = {
-  uniqueName: () => randomBytes(12).toString('hex'),
+  uniqueName: () => randomBytes(NAME_BYTES).toString('hex'),
 };
--- a/src/base/state-limits.ts
+++ b/src/base/state-limits.ts
@@ -1,7 +1,8 @@
-/** @file The limits of the state service that are to be obeyed. */
+/** @file The limits of the key-value store that are to be obeyed. */
+
 /**
- * Limits of the state service. The platform may announce lower ones that come into force at a moment that nobody is
- * told; a controller therefore obeys the smaller of the two from its start.
+ * Limits of the key-value store. The platform may announce lower ones that come into force at an unknown moment; a
+ * controller therefore obeys the smaller of the two from its start.
  */
 export interface StateLimits {
   /** Requests a second, all controllers together. */
@@ -17,10 +18,10 @@
 type LimitName = keyof StateLimits;
 
 const BYTES_PER_KB = 1024;
-/** The taking of a shard needs this many changes in one transaction. */
-const LEAST_CHANGES = 3;
+/** The acquisition of a shard needs this many changes in one transaction. */
+const MIN_CHANGES = 3;
 /** Part of one second's changes that a transaction may take: one that needs all of them may never get its turn. */
-const BURST_PART = 0.5;
+const TRANSACTION_PART = 0.5;
 
 /** How a limit is read from the announcement; undefined when the field can't be used. */
 const readLimit: Record<LimitName, (value: unknown) => number | undefined> = {
@@ -70,7 +71,7 @@
   };
 }
 
-/** The size of a value as the state service counts it: bytes of JSON text. */
+/** The size of a value as the key-value store counts it: bytes of JSON text. */
 export function jsonBytes(value: unknown): number {
   return Buffer.byteLength(JSON.stringify(value));
 }
@@ -80,8 +81,8 @@
   return Math.floor(value_kb * BYTES_PER_KB);
 }
 
-/** How many changes one transaction may hold, of those that its writer would like to make at once. */
+/** How many changes one transaction may hold, of those that its writer wants to make at once. */
 export function changesAtOnce({ txn_ops, write_rps }: StateLimits, wanted = Infinity): number {
-  const inTurn = Math.max(LEAST_CHANGES, Math.floor(write_rps * BURST_PART));
-  return Math.min(wanted, txn_ops, inTurn);
+  const withinRate = Math.max(MIN_CHANGES, Math.floor(write_rps * TRANSACTION_PART));
+  return Math.min(wanted, txn_ops, withinRate);
 }
--- a/src/cli/peers-table.ts
+++ b/src/cli/peers-table.ts
@@ -1,4 +1,4 @@
-/** @file The answer to `GET /peers` as a table for people. */
+/** @file The response to `GET /peers` as a table for people. */
 import type { PeerRow, PeersReport } from '../suspicion/peers-report';
 
 const HEADINGS = ['FROM', 'PEER', 'STATUS', 'WHY', 'FOR', 'HEARD', 'RUN', 'INC', 'PHI'] as const;
@@ -9,7 +9,7 @@
   return ms === null ? '-' : `${(ms / MS_PER_S).toFixed(1)} s`;
 }
 
-function cells(row: PeerRow): string[] {
+function cellsOf(row: PeerRow): string[] {
   return [
     row.from,
     row.peer,
@@ -23,8 +23,8 @@
   ];
 }
 
-/** One line on the controller that was asked. */
-function headLine(report: PeersReport): string {
+/** One line on the controller that sent the report. */
+function summaryLine(report: PeersReport): string {
   const { node, run, incarnation, stalls, isStalled, suspectedForMs } = report;
   const suspected = suspectedForMs === null ? '' : `, suspected by most for ${seconds(suspectedForMs)}`;
   return `${node}: run ${run}, incarnation ${incarnation}, stalls ${stalls}${isStalled ? ' (stalled)' : ''}${suspected}`;
@@ -32,7 +32,7 @@
 
 /** The report as lines of aligned columns, one line for each opinion that one controller holds of another. */
 export function peersTable(report: PeersReport): string {
-  const lines = [[...HEADINGS], ...report.rows.map(cells)];
+  const lines = [[...HEADINGS], ...report.rows.map(cellsOf)];
   const widths = HEADINGS.map((_, column) => Math.max(...lines.map((line) => line[column]?.length ?? 0)));
   const table = lines.map((line) =>
     line
@@ -40,5 +40,5 @@
       .join(COLUMN_GAP)
       .trimEnd(),
   );
-  return [headLine(report), '', ...table].join('\n');
+  return [summaryLine(report), '', ...table].join('\n');
 }
--- a/src/cli/tracing.ts
+++ b/src/cli/tracing.ts
@@ -23,8 +23,8 @@
     for (const { name, attributes, events, duration } of spans) {
       const [seconds, nanoseconds] = duration;
       const ms = seconds * MS_PER_S + nanoseconds / NS_PER_MS;
-      const happened = events.map((event) => ({ event: event.name, ...event.attributes }));
-      this.log.info({ span: name, ms: Number(ms.toFixed(2)), ...attributes, events: happened }, 'span');
+      const eventFields = events.map((event) => ({ event: event.name, ...event.attributes }));
+      this.log.info({ span: name, ms: Number(ms.toFixed(2)), ...attributes, events: eventFields }, 'span');
     }
     done(SUCCESS);
   }
--- a/src/suspicion/options.ts
+++ b/src/suspicion/options.ts
@@ -1,6 +1,7 @@
 /** @file The operators' settings of suspicion: the table `[suspicion]` of their options file. */
 import * as z from 'zod';
-import { SettingsError, type Settings } from '../base/settings';
+import { readOperatorTable } from '../base/operator-table';
+import type { Settings } from '../base/settings';
 import { silenceFor } from './phi';
 
 /** Time between two heartbeats of a controller (the periodic `Progress` message), in milliseconds. */
@@ -55,21 +56,11 @@
 }
 
 /** Reads and checks the table; undefined when suspicion is off. Throws `SettingsError` with the file and the key. */
-export function readSuspicionOptions({
-  operator,
-  operatorFile,
-  shardLeaseMs,
-}: Settings): SuspicionOptions | undefined {
-  if (operator.suspicion === undefined) return undefined;
-  const parsed = suspicionSchema.safeParse(operator.suspicion);
-  if (!parsed.success) {
-    const issue = parsed.error.issues[0];
-    const path = ['suspicion', ...(issue?.path ?? [])].join('.');
-    throw new SettingsError(`${operatorFile}: ${path}: ${issue?.message ?? 'invalid'}`);
-  }
-  const problem = contradiction(parsed.data, shardLeaseMs / MS_PER_S);
-  if (problem !== undefined) throw new SettingsError(`${operatorFile}: suspicion.${problem}`);
-  return parsed.data.enabled ? toOptions(parsed.data) : undefined;
+export function readSuspicionOptions(settings: Settings): SuspicionOptions | undefined {
+  const table = readOperatorTable('suspicion', settings, suspicionSchema, (checked) =>
+    contradiction(checked, settings.shardLeaseMs / MS_PER_S),
+  );
+  return table?.enabled ? toOptions(table) : undefined;
 }
 
 /** What follows from the settings, for `check-config`; null when suspicion is off. Times in milliseconds. */
--- a/src/transport/connections.ts
+++ b/src/transport/connections.ts
@@ -45,7 +45,7 @@
   #idleCheckedAt = 0;
 
   constructor(
-    private readonly limits: ConnectionLimits,
+    readonly limits: ConnectionLimits,
     private readonly now: () => number,
   ) {}
 
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -1,6 +1,6 @@
 /** @file The HTTP server for workers, users and health checks. */
 import fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from 'fastify';
-import { Connections, type ConnectionLimits, type Use } from './connections';
+import type { Connections, Use } from './connections';
 
 /** A request as a route sees it. */
 export interface HttpRequest {
@@ -33,8 +33,8 @@
 /** What the server goes by. */
 export interface ServerOptions {
   maxBodyBytes: number;
-  connections: ConnectionLimits;
-  now(): number;
+  /** Empty at first; the server adds those that are opened to it. */
+  connections: Connections;
   encode(value: unknown): Uint8Array;
   /** An error that no route handled; its request is answered with 503. */
   onError(error: unknown): void;
@@ -139,10 +139,8 @@
 }
 
 /** Creates the HTTP server, which does not listen yet. A body over the limit is refused (413) without being kept. */
-export function createServer(
-  routes: Route[],
-  options: ServerOptions,
-): { server: FastifyInstance; connections: Connections } {
+export function createServer(routes: Route[], options: ServerOptions): FastifyInstance {
+  const { connections } = options;
   const server = fastify({
     logger: false,
     bodyLimit: options.maxBodyBytes,
@@ -150,8 +148,7 @@
     routerOptions: { maxParamLength: MAX_PARAMETER_LENGTH },
     exposeHeadRoutes: false,
   });
-  const connections = new Connections(options.connections, options.now);
-  server.server.maxConnections = options.connections.all;
+  server.server.maxConnections = connections.limits.all;
   server.server.on('connection', (socket) => {
     connections.add(socket);
   });
@@ -168,5 +165,5 @@
       },
     });
   }
-  return { server, connections };
+  return server;
 }
--- a/test/edges.test.ts
+++ b/test/edges.test.ts
@@ -2,9 +2,11 @@
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { test } from 'node:test';
-import { makeSettings, SettingsError } from '../src/base/settings';
+import { makeSettings } from '../src/base/settings';
+import { SettingsError } from '../src/base/settings-schema';
 import { codec } from '../src/protocol/codec';
 import { readPeerMessage, writePeerMessage, type PeerMessage } from '../src/protocol/peers';
+import { Connections } from '../src/transport/connections';
 import { HttpClient, NoResponseError } from '../src/transport/http-client';
 import { createServer as createUserServer } from '../src/transport/http-server';
 import { readFrames, writeFrame } from '../src/transport/peer-link';
@@ -18,9 +20,9 @@
       return { status: 200, body: { size: body.length } };
     },
   };
-  const connections = { all: 20, workers: 10, workerIdleMs: 1000 };
-  const options = { maxBodyBytes: 64 * 1024, connections, now: () => 0, onError: assert.fail };
-  const { server } = createUserServer([route], { ...options, encode: (value) => codec.encode(value) });
+  const connections = new Connections({ all: 20, workers: 10, workerIdleMs: 1000 }, () => 0);
+  const options = { maxBodyBytes: 64 * 1024, connections, onError: assert.fail };
+  const server = createUserServer([route], { ...options, encode: (value) => codec.encode(value) });
   await server.listen({ host: '127.0.0.1', port: 0 });
   const address = `127.0.0.1:${(server.server.address() as AddressInfo).port}`;
   const client = new HttpClient(codec, { perHost: 1, idle: () => 1 }, 1024);
--- a/test/fixed-limits.test.ts
+++ b/test/fixed-limits.test.ts
@@ -16,6 +16,7 @@
   NoResponseError,
   type HttpCaller,
 } from '../src/transport/http-client';
+import { Connections } from '../src/transport/connections';
 import { createServer as createNodeServer, type Route } from '../src/transport/http-server';
 import { MAX_FRAME_BYTES } from '../src/transport/peer-link';
 import { RateLimit } from '../src/transport/rate-limit';
@@ -127,9 +128,10 @@
     return { method: 'GET', url, use, handle: () => ({ status: 200, body: {} }) };
   };
   const share = 64;
-  const { server, connections } = createNodeServer([route('/hello', 'workers'), route('/up', 'health')], {
-    ...{ maxBodyBytes: 1024, now: () => performance.now(), onError: assert.fail },
-    connections: { all: 128, workers: share, workerIdleMs: 60_000 },
+  const limits = { all: 128, workers: share, workerIdleMs: 60_000 };
+  const connections = new Connections(limits, () => performance.now());
+  const server = createNodeServer([route('/hello', 'workers'), route('/up', 'health')], {
+    ...{ maxBodyBytes: 1024, connections, onError: assert.fail },
     encode: (value) => codec.encode(value),
   });
   await server.listen({ host: '127.0.0.1', port: 0 });
--- a/test/sockets.test.ts
+++ b/test/sockets.test.ts
@@ -67,11 +67,12 @@
   const route = (url: string, use: Route['use']): Route => {
     return { method: 'GET', url, use, handle: () => ({ status: 200, body: {} }) };
   };
-  const { server, connections } = createNodeServer(
+  const limits = { all: 20, workers: 5, workerIdleMs: 60_000 };
+  const connections = new Connections(limits, () => performance.now());
+  const server = createNodeServer(
     [route('/up', 'health'), route('/hello', 'workers'), route('/work', 'users')],
     {
-      ...{ maxBodyBytes: 1024, now: () => performance.now(), onError: assert.fail },
-      connections: { all: 20, workers: 5, workerIdleMs: 60_000 },
+      ...{ maxBodyBytes: 1024, connections, onError: assert.fail },
       encode: (value) => codec.encode(value),
     },
   );
