--- a/src/coordination/controller-services.ts
+++ b/src/coordination/controller-services.ts
@@ -19,7 +19,7 @@
 import { Cloud } from '../protocol/cloud';
 import { writePeerMessage } from '../protocol/peers';
 import { HttpKeyValueStore } from '../protocol/http-key-value-store';
-import type { ChangeEvent, KeyValueStore } from '../protocol/key-value-store';
+import type { KeyValueStore } from '../protocol/key-value-store';
 import { readSuspicionOptions } from '../suspicion/options';
 import { Suspicion } from '../suspicion/suspicion';
 import { RateLimit } from '../transport/rate-limit';
@@ -120,6 +120,35 @@
   });
 }
 
+/** The copy of the records, and what writes to them. */
+interface RecordServices {
+  readonly store: KeyValueStore;
+  readonly cache: WatchCache;
+  readonly session: Session;
+  readonly formatGate: FormatGate;
+  readonly publish: ControllerContext['publish'];
+}
+
+function createRecordServices(
+  settings: Settings,
+  environment: Environment,
+  store: KeyValueStore,
+): RecordServices {
+  const { clock, log } = environment;
+  const { platform, shardLeaseMs, throttling } = settings;
+  const cache = new WatchCache(store, LIVE, clock, shardLeaseMs / WATCHES_PER_LEASE, throttling.watchPaceMs);
+  return {
+    store,
+    cache,
+    session: new Session(platform.node, shardLeaseMs, store, cache, clock, log),
+    formatGate: createFormatGate(settings, environment, store, cache),
+    publish: (event) => {
+      cache.offer(event);
+      environment.broadcast(writePeerMessage({ kind: 'change notification', event }));
+    },
+  };
+}
+
 /** Creates the services; `store` stands in for the client of the key-value store where one is given. */
 export function createControllerServices(
   settings: Settings,
@@ -127,33 +156,23 @@
   store: KeyValueStore = createKeyValueStore(settings, environment),
 ): ControllerServices {
   const { clock, log, workers, random } = environment;
-  const { platform, shardLeaseMs, throttling } = settings;
-  const { node } = platform;
-  const cache = new WatchCache(store, LIVE, clock, shardLeaseMs / WATCHES_PER_LEASE, throttling.watchPaceMs);
-  const session = new Session(node, shardLeaseMs, store, cache, clock, log);
-  const publish = (event: ChangeEvent): void => {
-    cache.offer(event);
-    environment.broadcast(writePeerMessage({ kind: 'change notification', event }));
-  };
-  const formatGate = createFormatGate(settings, environment, store, cache);
+  const records = createRecordServices(settings, environment, store);
+  const { cache, formatGate, publish } = records;
   const finals = new FinalStates(store, formatGate);
   const { endedJobs, dependencies } = createJobTracking(settings, cache, finals, clock);
-  const records = { store, cache, clock, dependencies, publish };
   const admission = readAdmissionOptions(settings);
-  const jobs = createJobStore(settings, admission, { ...records, finals, formatGate, log });
+  const jobServices = { store, cache, clock, dependencies, publish, finals, formatGate, log };
+  const jobs = createJobStore(settings, admission, jobServices);
   const cloud = createCloud(settings, environment);
   const machineTypes = new MachineTypes({ settings, clock, cache, store, formatGate, cloud });
   const context: ControllerContext = {
-    controllerId: node,
+    ...records,
+    controllerId: settings.platform.node,
     settings,
     clock,
     random,
     log,
     eventLoopDelay: new EventLoopDelay(clock),
-    store,
-    cache,
-    formatGate,
-    session,
     jobs,
     endedJobs,
     dependencies,
@@ -162,12 +181,8 @@
     workers,
     suspicion: createSuspicion(settings, environment, cache),
     types: () => machineTypes.all,
-    publish,
   };
-  const dependentCancellation = new DependentCancellation({
-    ...records,
-    jobs,
-    changes: changesAtOnce(platform.deployment.state),
-  });
+  const changes = changesAtOnce(settings.platform.deployment.state);
+  const dependentCancellation = new DependentCancellation({ ...jobServices, jobs, changes });
   return { context, machineTypes, dependentCancellation, admission };
 }
--- a/src/coordination/peer-messaging.ts
+++ b/src/coordination/peer-messaging.ts
@@ -8,7 +8,7 @@
 import type { Readiness } from './readiness';
 import type { ShardOwner } from './shard/shard-owner';
 
-/** What peer messages tell of, and where they are delivered. */
+/** What heartbeats are made from, and where the peers' messages are delivered. */
 export interface PeerMessagingContext {
   readonly context: Pick<ControllerContext, 'cache' | 'controllerId' | 'log' | 'suspicion'>;
   readonly acquisition: { readonly owners: ReadonlyMap<number, ShardOwner> };
--- a/src/coordination/replies.ts
+++ b/src/coordination/replies.ts
@@ -22,12 +22,12 @@
   return { status: 503, body: NOT_NOW, retryAfterS: RETRY_AFTER_S };
 }
 
-/** The reply that tells a job's status. */
+/** The reply with a job's status. */
 export function replyWithStatus(status: JobStatus): HttpReply {
   return { status: 200, body: writeStatus(status) };
 }
 
-/** The reply to a heartbeat. A worker comes again by itself, so it is told no time. */
+/** The reply to a heartbeat. A worker repeats it by itself, so the reply holds no time after which to retry. */
 export function replyToWorker(response: HeartbeatResponse): HttpReply {
   switch (response.kind) {
     case 'accepted':
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -107,7 +107,7 @@
  */
 export type ExitCause = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown';
 
-/** One attempt of one task, as a worker reports it. */
+/** One attempt of one task, as the worker's heartbeat has it. */
 export interface ReportedAttempt {
   job: string;
   task: number;
@@ -119,7 +119,7 @@
   hasCheckpoint: boolean;
 }
 
-/** A worker's report of itself and of the attempts on its machine. */
+/** A worker's message on itself and on the attempts on its machine. */
 export interface WorkerHeartbeat {
   machine: string;
   /** Where the worker takes commands: IP:PORT. */
--- a/src/protocol/peer-view.ts
+++ b/src/protocol/peer-view.ts
@@ -32,7 +32,7 @@
   readonly run: number;
   /** Raised by the sender, within a run, to refute a suspicion. */
   readonly incarnation: number;
-  /** Whether the sender has stalled repeatedly of late: its opinions don't count. */
+  /** Whether the sender has stalled repeatedly in a short time: its opinions don't count. */
   readonly isStalled: boolean;
   readonly opinions: readonly PeerOpinion[];
 }
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -44,7 +44,7 @@
   jobs: JobProgress[];
   /** Shards that the sender owns and most of whose workers don't reach it. */
   unreachableShards: number[];
-  /** By shard of another owner, how many of its machines sent a heartbeat to the sender of late. */
+  /** By shard of another owner, how many of its machines sent the sender a heartbeat recently. */
   redirected: { shard: number; machines: number }[];
   /** Absent where suspicion is off at the sender, and from versions without it. */
   view?: PeerView;
--- a/src/protocol/users.ts
+++ b/src/protocol/users.ts
@@ -63,7 +63,7 @@
   return `${path.join('.')}: ${issue?.message ?? 'invalid'}`;
 }
 
-/** Reads a submission, or tells what is wrong with it. */
+/** Reads a submission, or says what is wrong with it. */
 export function readSubmission(body: Uint8Array): Submission {
   const map = decodeMap(body);
   if (!map) return { kind: 'invalid', error: 'the body is not a MessagePack map' };
@@ -102,7 +102,7 @@
   };
 }
 
-/** The body of a response that tells a job's status. */
+/** The body of a response with a job's status. */
 export function writeStatus(status: JobStatus): Record<string, unknown> {
   const fields = {
     nameId: status.id,
@@ -115,7 +115,7 @@
   return { ...fields, awaits: unfinished.slice(0, MAX_LISTED_DEPENDENCIES) };
 }
 
-/** The body of a response that tells a job's state alone. */
+/** The body of a response with a job's state alone. */
 export function writeJobState(id: string, state: JobState): Record<string, unknown> {
   return { nameId: id, standing: STANDINGS[state] };
 }
--- a/src/transport/bounded-agent.ts
+++ b/src/transport/bounded-agent.ts
@@ -27,7 +27,7 @@
   }
 
   override keepSocketAlive(socket: Duplex): boolean {
-    // The types say that nothing is returned; the documentation, and the code, that it tells whether to keep it.
+    // The types say that nothing is returned; by the documentation and the code it is whether to keep the socket.
     const keep = super.keepSocketAlive(socket) as unknown as boolean;
     if (!keep) return false;
     const onClose = (): void => {
--- a/src/transport/connections.ts
+++ b/src/transport/connections.ts
@@ -11,7 +11,7 @@
   /** Of these, how many workers may hold. */
   readonly workers: number;
   /**
-   * A worker without a request for so long is gone or reports to another controller; its own side may never close the
+   * A worker without a request for so long is gone, or sends its heartbeats to another controller; its own side may never close the
    * connection.
    */
   readonly workerIdleMs: number;
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -13,7 +13,7 @@
 /** What a route replies. */
 export interface HttpReply {
   status: number;
-  /** The value to encode; left out: an error that tells the status. */
+  /** The value to encode; left out: an error that names the status. */
   body?: unknown;
   /** The time after which the sender should repeat the request, in seconds. */
   retryAfterS?: number;
