--- a/src/admission/epoch-writer.ts
+++ b/src/admission/epoch-writer.ts
@@ -112,7 +112,7 @@
     const { store, publish, changes: maxChanges } = this.context;
     const changes = epochChanges(limitClasses(next, maxChanges - 1), epochMs);
     const conditions = [leaderCondition, this.#condition(KEY.admission)];
-    const result = await store.compareAndSwap(conditions, changes, true);
+    const result = await store.compareAndSwap(conditions, changes, 'urgent');
     if (!result.ok) return false;
     // The classes before the epoch that names them: a peer that has the one has the others.
     for (const change of [...changes].reverse()) publish(eventOfChange(change, result.revision));
@@ -156,7 +156,7 @@
     const { store, log, publish } = this.context;
     const deletion: Change = { delete: KEY.admission };
     const conditions = [leaderCondition, this.#condition(KEY.admission)];
-    const result = await store.compareAndSwap(conditions, [deletion], true);
+    const result = await store.compareAndSwap(conditions, [deletion], 'urgent');
     if (!result.ok) return;
     log.warn({}, 'admission: switched off at the leader');
     publish(eventOfChange(deletion, result.revision));
--- a/src/bookkeeping/job-store.ts
+++ b/src/bookkeeping/job-store.ts
@@ -92,7 +92,7 @@
       const final = this.finalRecord('cancelled', doneSoFar);
       const cancellation = { id, version: live.version, final };
       const { conditions, changes } = cancellationTransaction([cancellation]);
-      const result = await this.context.store.compareAndSwap(conditions, changes, true);
+      const result = await this.context.store.compareAndSwap(conditions, changes, 'urgent');
       if (result.ok) return this.onCancelled(cancellation, result.revision);
     }
   }
--- a/src/bookkeeping/session.ts
+++ b/src/bookkeeping/session.ts
@@ -107,7 +107,7 @@
     const result = await store.compareAndSwap(
       [{ key, version: 0 }],
       [{ put: key, value: { lease }, lease }],
-      true,
+      'urgent',
     );
     if (!result.ok) return;
     this.#renewedAt = sentAt;
--- a/src/coordination/ownership/leader.ts
+++ b/src/coordination/ownership/leader.ts
@@ -50,7 +50,7 @@
     if (!cache.loaded || !session.valid || session.lease === undefined) return;
     if (!cache.get(KEY.leader)) {
       const change = { put: KEY.leader, value: { node: controllerId }, lease: session.lease };
-      const result = await store.compareAndSwap([{ key: KEY.leader, version: 0 }], [change], true);
+      const result = await store.compareAndSwap([{ key: KEY.leader, version: 0 }], [change], 'urgent');
       if (result.ok) this.#onElected(eventOfChange(change, result.revision));
     }
     if (!this.isLeader) return;
--- a/src/coordination/ownership/shard-acquisition.ts
+++ b/src/coordination/ownership/shard-acquisition.ts
@@ -68,7 +68,7 @@
     } else if (this.#record(shard)?.owner !== controllerId) {
       owner.stop('assigned to another controller');
       // Only after the stop: once the lease is gone the other controller may acquire the shard.
-      await store.compareAndSwap([owner.leaseCondition()], [{ delete: KEY.lease(shard) }], true);
+      await store.compareAndSwap([owner.leaseCondition()], [{ delete: KEY.lease(shard) }], 'urgent');
     }
     if (!owner.stopped) await this.#shardHandover.handOverIfUnreachable(owner);
     if (!owner.stopped) await this.#shardHandover.handOverIfPlanned(owner);
@@ -107,7 +107,7 @@
    * controller's session lives.
    */
   async #deleteLeaseWithoutOwner({ key, version }: Entry): Promise<void> {
-    await this.context.store.compareAndSwap([{ key, version }], [{ delete: key }], true);
+    await this.context.store.compareAndSwap([{ key, version }], [{ delete: key }], 'urgent');
   }
 
   /** A handover begins when this controller is seen to be chosen, and is broken off when another is. */
@@ -132,7 +132,7 @@
       { put: KEY.lease(shard), value: { owner: controllerId, token: fencingToken }, lease: sessionLease },
       { put: KEY.shard(shard), value: { ...record, holder: controllerId } },
     ];
-    const result = await store.compareAndSwap(this.#acquisitionConditions(shard), changes, true);
+    const result = await store.compareAndSwap(this.#acquisitionConditions(shard), changes, 'urgent');
     if (!result.ok) return 'refused';
     const { revision } = result;
     // The owner starts from a copy of the records that holds everything the previous owner could have acted on.
--- a/src/coordination/ownership/shard-handover.ts
+++ b/src/coordination/ownership/shard-handover.ts
@@ -77,7 +77,11 @@
     const changes = isAssignedHere
       ? [{ put: key, value: { ...record, owner: successor } }, deletion]
       : [deletion];
-    await store.compareAndSwap([owner.leaseCondition(), { key, version: cache.version(key) }], changes, true);
+    await store.compareAndSwap(
+      [owner.leaseCondition(), { key, version: cache.version(key) }],
+      changes,
+      'urgent',
+    );
   }
 
   #record(shard: number): ShardRecord | undefined {
--- a/test/fixed-limits.test.ts
+++ b/test/fixed-limits.test.ts
@@ -9,13 +9,14 @@
 import { codec } from '../src/protocol/codec';
 import type { Cloud } from '../src/protocol/cloud';
 import { readPeerMessage, writePeerMessage } from '../src/protocol/peers';
-import { HttpKeyValueStore } from '../src/protocol/key-value-store';
+import { HttpKeyValueStore } from '../src/protocol/http-key-value-store';
 import {
   ResponseTooLargeError,
   HttpClient,
   NoResponseError,
   type HttpCaller,
 } from '../src/transport/http-client';
+import { Connections } from '../src/transport/connections';
 import { createServer as createNodeServer, type Route } from '../src/transport/http-server';
 import { MAX_FRAME_BYTES } from '../src/transport/peer-link';
 import { RateLimit } from '../src/transport/rate-limit';
@@ -64,14 +65,13 @@
   await assert.rejects(client.call(address, 'GET', '/', undefined, 1000), ResponseTooLargeError);
   const clock = new FakeClock();
   const limit = (): RateLimit => new RateLimit(clock, 100, 100);
-  const store = new HttpKeyValueStore(client, address, limit(), limit(), 1000);
+  const storeOver = (http: HttpCaller): HttpKeyValueStore =>
+    new HttpKeyValueStore({ http, address, requests: limit(), writes: limit(), timeoutMs: 1000 });
+  const store = storeOver(client);
   assert.equal(await store.changes('live/', 1, 0), undefined);
   assert.equal(store.isUnavailable, false, 'the service is there');
   const cut: HttpCaller = { call: () => Promise.reject(new NoResponseError('cut off', true)) };
-  await assert.rejects(
-    new HttpKeyValueStore(cut, address, limit(), limit(), 1000).changes('live/', 1, 0),
-    NoResponseError,
-  );
+  await assert.rejects(storeOver(cut).changes('live/', 1, 0), NoResponseError);
 });
 
 test('progress of any number of jobs reaches the peers, in messages that fit a frame', () => {
@@ -128,9 +128,10 @@
     return { method: 'GET', url, use, handle: () => ({ status: 200, body: {} }) };
   };
   const share = 64;
-  const { server, connections } = createNodeServer([route('/hello', 'workers'), route('/up', 'health')], {
-    ...{ maxBodyBytes: 1024, now: () => performance.now(), onError: assert.fail },
-    connections: { all: 128, workers: share, workerIdleMs: 60_000 },
+  const limits = { all: 128, workers: share, workerIdleMs: 60_000 };
+  const connections = new Connections(limits, () => performance.now());
+  const server = createNodeServer([route('/hello', 'workers'), route('/up', 'health')], {
+    ...{ maxBodyBytes: 1024, connections, onError: assert.fail },
     encode: (value) => codec.encode(value),
   });
   await server.listen({ host: '127.0.0.1', port: 0 });
