--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -102,7 +102,7 @@
 
 test('jobs that waited too long get a share out of turn, and a machine is reserved for what fits nowhere yet', () => {
   const teams = new Map([['blue', limits(0)]]);
-  const old = { ...waiting(job('old', 'blue', 'low', { cpus: 4, tasks: 2 }), -90, 99), aged: true };
+  const old = { ...waiting(job('old', 'blue', 'low', { cpus: 4, tasks: 2 }), -90, 99), isBoosted: true };
   const urgent = waiting(job('urgent', 'blue', 'high', { tasks: 6 }), 50);
   const queue = orderQueue([urgent, old], teams);
   const input = {
@@ -127,9 +127,9 @@
 
 test('of the jobs that waited too long, one that has not begun goes before an older one that has', () => {
   const teams = new Map([['blue', { ...limits(0), cpus_max: 4 }]]);
-  const aged = { aged: true, slackMs: -90 };
-  const older = { ...waiting(job('older', 'blue', 'normal')), ...aged, begun: true, submittedAt: 1 };
-  const newer = { ...waiting(job('newer', 'blue', 'normal', { tasks: 1 })), ...aged, submittedAt: 2 };
+  const boosted = { isBoosted: true, slackMs: -90 };
+  const older = { ...waiting(job('older', 'blue', 'normal')), ...boosted, hasStarted: true, submittedAt: 1 };
+  const newer = { ...waiting(job('newer', 'blue', 'normal', { tasks: 1 })), ...boosted, submittedAt: 2 };
   const input = { queue: orderQueue([older, newer], teams), quotas: teams, usage: new Map<string, never>() };
   const { placements } = placeTasks(
     { ...input, machines: [roomy('m', 4)], boostedCpusLeft: 2, hasBoostedTasks: false, cursor: 0 },
--- a/test/scaling-plan.test.ts
+++ b/test/scaling-plan.test.ts
@@ -17,7 +17,7 @@
     });
   assert.deepEqual(
     ask((id) => id === 'm3'),
-    { candidates: ['m3'], release: [] },
+    { candidates: ['m3'], toReturn: [] },
   );
   assert.deepEqual(ask((id) => id === 'm3', 80_000).toReturn, ['m3']);
   // One that holds up a shard that was taken over is given up sooner.
