--- a/src/coordination/autoscaling/cloud-inventory.ts
+++ b/src/coordination/autoscaling/cloud-inventory.ts
@@ -1,49 +1,63 @@
-/** @file A node's copy of the cloud's list of machines. */
+/** @file A controller's copy of the cloud's list of machines. */
 import type { Clock } from '../../base/clock';
 import { PREFIX } from '../../bookkeeping/records';
 import type { WatchCache } from '../../bookkeeping/watch-cache';
 import { MACHINES_PER_PAGE, type Cloud } from '../../protocol/cloud';
 import type { ListedMachine } from '../../protocol/model';
 
-const POLL_MS = 6_000;
+const MIN_POLL_INTERVAL_MS = 6_000;
 /**
  * Least time for each page of the list. The list of a large fleet takes many calls, of the few a second that the cloud
- * allows all controllers together: read every six seconds, it would leave hardly any for rentals and releases.
+ * allows all controllers together: read every six seconds, it would leave hardly any for rentals and returns.
  */
-const MS_PER_PAGE = 2_000;
-const MEMORY_MS = 120_000;
+const MIN_INTERVAL_PER_PAGE_MS = 2_000;
+/** How long the deletion of a machine's record is remembered: the list lags by less. */
+const DELETION_MEMORY_MS = 120_000;
 
-/** The cloud's list of machines. It lags and may go back, so it serves to find strays and failures, never an end. */
+/**
+ * The cloud's list of machines. It lags and may go back, so it serves to find machines without a record and failed ones;
+ * it never proves that a machine is gone.
+ */
 export class CloudInventory {
   #listed: ListedMachine[] = [];
-  /** Machines whose records were deleted: a list that lags still names them. */
-  readonly #deleted = new Map<string, number>();
+  /** When the records of machines were deleted, by machine: a list that lags still names them. */
+  readonly #recordDeletedAt = new Map<string, number>();
 
   constructor(
     private readonly cloud: Cloud,
     private readonly clock: Clock,
   ) {}
 
+  /** Follows which machines' records are deleted. */
   watch(cache: WatchCache): void {
     cache.onChange((event) => {
       if (!event.deleted || !event.key.startsWith(PREFIX.machine)) return;
-      this.#deleted.set(event.key.slice(PREFIX.machine.length), this.clock.now());
+      this.#recordDeletedAt.set(event.key.slice(PREFIX.machine.length), this.clock.now());
     });
   }
 
+  /** The machines by the latest list; none before the first. */
   machines(): readonly ListedMachine[] {
     return this.#listed;
   }
 
+  /** Whether the machine's record was deleted a short while ago, so that the list may name it though it is gone. */
   isDeleted(id: string): boolean {
-    return this.#deleted.has(id);
+    return this.#recordDeletedAt.has(id);
   }
 
-  async step(signal: AbortSignal, needed: () => boolean): Promise<void> {
-    if (needed()) this.#listed = await this.cloud.listMachines();
-    const now = this.clock.now();
-    for (const [id, at] of this.#deleted) if (now - at > MEMORY_MS) this.#deleted.delete(id);
+  /** Reads the list if it is needed, and pauses; to be run in a loop. */
+  async step(signal: AbortSignal, isNeeded: () => boolean): Promise<void> {
+    if (isNeeded()) this.#listed = await this.cloud.listMachines();
+    this.#forgetOldDeletions();
     const pages = Math.ceil(this.#listed.length / MACHINES_PER_PAGE);
-    await this.clock.sleep(Math.max(POLL_MS, pages * MS_PER_PAGE), signal);
+    await this.clock.sleep(Math.max(MIN_POLL_INTERVAL_MS, pages * MIN_INTERVAL_PER_PAGE_MS), signal);
+  }
+
+  #forgetOldDeletions(): void {
+    const now = this.clock.now();
+    for (const [id, at] of this.#recordDeletedAt) {
+      if (now - at > DELETION_MEMORY_MS) this.#recordDeletedAt.delete(id);
+    }
   }
 }
--- a/src/coordination/autoscaling/scaling-plan.ts
+++ b/src/coordination/autoscaling/scaling-plan.ts
@@ -1,13 +1,16 @@
 /** @file Plans which machines to rent for waiting work and which idle ones to return. */
 import { subtractResources, type Job, type MachineType, type Resources } from '../../protocol/model';
-import { fitsInto, isEligible, RESOURCE_TOLERANCE, zoneConstraintsAllow } from '../scheduling/constraints';
+import {
+  fitsInto,
+  isEligible,
+  RESOURCE_TOLERANCE,
+  zoneConstraintsAllow,
+  type MachineKind,
+} from '../scheduling/constraints';
 
 /** A machine of the fleet, as far as renting and returning need to know it. */
-export interface FleetMachine {
+export interface FleetMachine extends MachineKind {
   readonly id: string;
-  readonly type: MachineType;
-  readonly zone: string;
-  readonly spot: boolean;
   readonly booting: boolean;
   /** Time since the rental, as far as known. */
   readonly ageMs: number;
@@ -16,13 +19,9 @@
 }
 
 /** A kind of machine that can be rented in a zone. */
-export interface InstanceOption {
-  type: MachineType;
-  zone: string;
-  spot: boolean;
-}
+export type InstanceOption = MachineKind;
 
-/** So many machines of one kind to rent. */
+/** A number of machines of one kind to rent. */
 export interface ScaleOutRequest extends InstanceOption {
   count: number;
 }
@@ -31,6 +30,7 @@
 export interface UnplacedWork {
   readonly job: Job;
   readonly count: number;
+  /** It is not to wait for room that comes free by itself. */
   readonly urgent: boolean;
   /** How long its tasks can still wait and be in time. */
   readonly slackMs: number;
@@ -44,15 +44,17 @@
   readonly unplaced: readonly UnplacedWork[];
   readonly machines: readonly FleetMachine[];
   readonly types: readonly MachineType[];
-  /** Whether the cloud refused this option lately. */
+  /** Whether the cloud had no capacity for this option a short while ago. */
   readonly isBackedOff: (option: InstanceOption) => boolean;
   /** CPUs that running work will free before a new machine could be up. */
   readonly freeingCpus: number;
+  /** How long a machine must have been idle to be returned. */
   readonly idleReleaseMs: number;
-  /** Whether all that waits may be placed: before, empty machines are waiting for it. */
+  /** Whether all that waits may be placed: before, idle machines are kept for it. */
   readonly mayAllStart: boolean;
   /** Idle CPUs to keep for work that should start at once. */
   readonly warmCpus: number;
+  /** CPUs that are free on machines where tasks may start. */
   readonly freeCpus: number;
 }
 
@@ -62,12 +64,12 @@
   scaleIn: string[];
 }
 
-/** A machine costs at least this long, so an earlier release saves nothing. */
+/** A machine costs at least this long, so an earlier return saves nothing. */
 const MIN_CHARGE_MS = 60_000;
-/** Work that may run on spot machines waits for one while its slack is longer than this many boots. */
-const PATIENCE_IN_BOOTS = 1.5;
+/** Work that may run on spot machines waits for one while its slack is longer than this many boot times. */
+const MAX_SPOT_WAIT_BOOTS = 1.5;
 /** How much dearer a zone counts for each machine that is there already, as a share of the price. */
-const ZONE_PENALTY = 0.001;
+const PENALTY_PER_ZONE_MACHINE = 0.001;
 
 /** A string that is the same for equal options. */
 export function optionKey(option: InstanceOption): string {
@@ -88,7 +90,7 @@
 /** Chooses machines to rent for the backlog that the present ones won't absorb, and idle ones to return. */
 export function planScaling(input: ScalingInput): ScalingPlan {
   const planner = new ScaleOutPlanner(input);
-  for (const work of input.unplaced) planner.add(work);
+  for (const work of input.unplaced) planner.place(work);
   return { scaleOut: planner.requests(), scaleIn: input.mayAllStart ? chooseScaleIn(input) : [] };
 }
 
@@ -99,6 +101,7 @@
   readonly isNew: boolean;
 }
 
+/** Numbers of machines, or of a job's tasks, by zone. */
 type ZoneCounts = Map<string, number>;
 
 /** Fills waiting work into machines that are booting, and into new ones where it needs them. */
@@ -120,16 +123,16 @@
   }
 
   /** Finds a place for each task of the work, as far as the cloud's options allow. */
-  add(work: UnplacedWork): void {
+  place(work: UnplacedWork): void {
     const { job } = work;
     // A machine in a zone that the job's other tasks exclude is of no use to it, however many are rented there.
     const zones: ZoneCounts = new Map(work.zones);
-    let left = work.count - this.#absorbed(work, zones);
+    let left = work.count - this.#absorb(work, zones);
     // Rooms only shrink and zones only fill: a bin without room for one task of a job has none for the job's next.
-    let at = 0;
+    let index = 0;
     while (left > 0) {
-      at = this.#nextBin(job, zones, at);
-      const bin = this.#bins[at] ?? this.#addMachine(work, left, zones);
+      index = this.#nextBin(job, zones, index);
+      const bin = this.#bins[index] ?? this.#addMachine(work, left, zones);
       if (!bin) break;
       subtractResources(bin.room, job);
       increment(zones, bin.option.zone);
@@ -139,20 +142,20 @@
 
   /** The machines to rent, by option. */
   requests(): ScaleOutRequest[] {
-    const rentals = new Map<string, ScaleOutRequest>();
+    const requests = new Map<string, ScaleOutRequest>();
     for (const { option, isNew } of this.#bins) {
       if (!isNew) continue;
       const key = optionKey(option);
       const { type, zone, spot } = option;
-      const rental = rentals.get(key) ?? { type, zone, spot, count: 0 };
-      rental.count += 1;
-      rentals.set(key, rental);
+      const request = requests.get(key) ?? { type, zone, spot, count: 0 };
+      request.count += 1;
+      requests.set(key, request);
     }
-    return [...rentals.values()];
+    return [...requests.values()];
   }
 
   /** How many of the tasks will run in room that comes free before a new machine could be up. */
-  #absorbed({ job, count, urgent }: UnplacedWork, zones: ZoneCounts): number {
+  #absorb({ job, count, urgent }: UnplacedWork, zones: ZoneCounts): number {
     if (urgent || !this.#mayUseAny(job, zones)) return 0;
     const absorbed = Math.min(count, Math.floor(this.#freeingCpus / job.cpus));
     this.#freeingCpus -= absorbed * job.cpus;
@@ -170,15 +173,15 @@
     );
   }
 
-  /** The index of the first bin from `at` on with room for a task of the job. */
-  #nextBin(job: Job, zones: ZoneCounts, at: number): number {
-    let next = at;
-    for (; next < this.#bins.length; next += 1) {
-      const bin = this.#bins[next];
+  /** The index of the first bin from `start` on with room for a task of the job; the number of bins if none has. */
+  #nextBin(job: Job, zones: ZoneCounts, start: number): number {
+    let index = start;
+    for (; index < this.#bins.length; index += 1) {
+      const bin = this.#bins[index];
       if (!bin || !isEligible(job, bin.option)) continue;
       if (zoneConstraintsAllow(job, zones, bin.option.zone) && fitsInto(job, bin.room)) break;
     }
-    return next;
+    return index;
   }
 
   #addMachine({ job, slackMs }: UnplacedWork, tasks: number, zones: ZoneCounts): Bin | undefined {
@@ -200,30 +203,31 @@
   return { cpus, gpus, memoryGb };
 }
 
-/** The cheapest option for tasks of the work; undefined when none fits, or the cloud refused all of them lately. */
+/** The cheapest option for tasks of the work; undefined when none fits, or all are backed off. */
 function cheapest(
   work: { job: Job; tasks: number; slackMs: number; zones: ReadonlyMap<string, number> },
   options: readonly InstanceOption[],
-  refused: (option: InstanceOption) => boolean,
-  perZone: ReadonlyMap<string, number>,
+  isBackedOff: (option: InstanceOption) => boolean,
+  machinesPerZone: ReadonlyMap<string, number>,
 ): InstanceOption | undefined {
   const { job, tasks, slackMs, zones } = work;
   let best: InstanceOption | undefined;
   let bestCost = Infinity;
   for (const option of options) {
-    const fit = capacity(option.type, job);
+    const fittingTasks = capacity(option.type, job);
     if (
-      fit < 1 ||
+      fittingTasks < 1 ||
       !isEligible(job, option) ||
       !zoneConstraintsAllow(job, zones, option.zone) ||
-      refused(option)
+      isBackedOff(option)
     )
       continue;
     // Ordinary machines cost a multiple: work that can wait for spot ones to come free does.
-    if (!option.spot && job.spot && slackMs > option.type.bootS * 1000 * PATIENCE_IN_BOOTS) continue;
-    const price = option.spot ? option.type.spotPrice : option.type.price;
+    if (!option.spot && job.spot && slackMs > option.type.bootS * 1000 * MAX_SPOT_WAIT_BOOTS) continue;
     // Spread over the zones where the price is the same, so that a failing zone takes less with it.
-    const cost = (price / Math.min(fit, tasks)) * (1 + ZONE_PENALTY * (perZone.get(option.zone) ?? 0));
+    const cost =
+      (priceOf(option) / Math.min(fittingTasks, tasks)) *
+      (1 + PENALTY_PER_ZONE_MACHINE * (machinesPerZone.get(option.zone) ?? 0));
     if (cost < bestCost) {
       best = option;
       bestCost = cost;
@@ -232,19 +236,27 @@
   return best;
 }
 
+/** The price of a machine of this kind. */
+function priceOf({ type, spot }: InstanceOption): number {
+  return spot ? type.spotPrice : type.price;
+}
+
+function pricePerCpu(machine: FleetMachine): number {
+  return priceOf(machine) / machine.type.cpus;
+}
+
 /** The machines that were idle for long enough, dearest first, as far as enough room stays free. */
 function chooseScaleIn(input: ScalingInput): string[] {
   const idle = input.machines.filter(
-    (m) => !m.booting && m.idleMs >= input.idleReleaseMs && m.ageMs >= MIN_CHARGE_MS,
+    (machine) => !machine.booting && machine.idleMs >= input.idleReleaseMs && machine.ageMs >= MIN_CHARGE_MS,
   );
-  const price = (m: FleetMachine): number => (m.spot ? m.type.spotPrice : m.type.price) / m.type.cpus;
-  idle.sort((a, b) => price(b) - price(a) || b.idleMs - a.idleMs);
-  const release: string[] = [];
-  let free = input.freeCpus;
+  idle.sort((a, b) => pricePerCpu(b) - pricePerCpu(a) || b.idleMs - a.idleMs);
+  const chosen: string[] = [];
+  let freeCpus = input.freeCpus;
   for (const machine of idle) {
-    if (free - machine.type.cpus < input.warmCpus) continue;
-    free -= machine.type.cpus;
-    release.push(machine.id);
+    if (freeCpus - machine.type.cpus < input.warmCpus) continue;
+    freeCpus -= machine.type.cpus;
+    chosen.push(machine.id);
   }
-  return release;
+  return chosen;
 }
--- a/src/coordination/scheduling/chain-urgency.ts
+++ b/src/coordination/scheduling/chain-urgency.ts
@@ -1,22 +1,23 @@
-/** @file Priorities and deadlines that a job takes over from those that need it. */
+/** @file Priorities and deadlines that a job inherits from its dependents. */
 import { KEY, read } from '../../bookkeeping/records';
 import type { JobGraph } from '../../bookkeeping/job-graph';
 import type { WatchCache } from '../../bookkeeping/watch-cache';
 import { PRIORITY_RANK, type Priority } from '../../protocol/model';
 
-/** How urgent a job is, given all jobs that need it. */
+/** How urgent a job is, given all its direct and indirect dependents. */
 export interface Urgency {
-  /** The highest priority among the job and all that need it. */
+  /** The highest priority among the job and its dependents. */
   readonly priority: Priority;
   /** Time of day by which it has to be done for all deadlines after it to be met; undefined where there is none. */
   readonly latestFinishAt: number | undefined;
 }
 
-/** What of a live job matters to those that it needs. */
+/** What of a live job matters to its dependencies. */
 export interface ChainJob {
   readonly priority: Priority;
   /** Time of day of its own deadline. */
   readonly dueAt: number | undefined;
+  /** How long its tasks should run. */
   readonly runMs: number;
 }
 
@@ -25,7 +26,8 @@
   return b === undefined ? a : Math.min(a, b);
 }
 
-function merge(own: Urgency, dependent: Urgency, dependentRunMs: number): Urgency {
+/** The urgency of a job with one more dependent taken into account. */
+function inheritUrgency(own: Urgency, dependent: Urgency, dependentRunMs: number): Urgency {
   const isHigher = PRIORITY_RANK[dependent.priority] < PRIORITY_RANK[own.priority];
   const latestStartAt =
     dependent.latestFinishAt === undefined ? undefined : dependent.latestFinishAt - dependentRunMs;
@@ -35,13 +37,14 @@
   };
 }
 
-function countDown(counts: Map<string, number>, id: string): number {
-  const left = (counts.get(id) ?? 0) - 1;
-  counts.set(id, left);
-  return left;
+function decrement(counts: Map<string, number>, id: string): number {
+  const count = (counts.get(id) ?? 0) - 1;
+  counts.set(id, count);
+  return count;
 }
 
-function describedJobs(
+/** The live jobs of the graph, described. */
+function describeJobs(
   graph: JobGraph,
   describe: (id: string) => ChainJob | undefined,
 ): Map<string, ChainJob> {
@@ -54,21 +57,21 @@
 }
 
 /**
- * Carries priorities and deadlines from each job to those that it needs, last jobs first, and so through chains of any
- * length without recursion. The result holds the live jobs that others need.
+ * Propagates priorities and deadlines from each job to its dependencies, in reverse topological order, and so through
+ * chains of any length without recursion. The result holds the live jobs that have dependents.
  */
 export function chainUrgencies(
   graph: JobGraph,
   describe: (id: string) => ChainJob | undefined,
 ): Map<string, Urgency> {
-  const jobs = describedJobs(graph, describe);
+  const jobs = describeJobs(graph, describe);
   const urgencies = new Map<string, Urgency>();
-  const openDependents = new Map<string, number>();
+  const pendingDependents = new Map<string, number>();
   const ready: string[] = [];
   for (const [id, job] of jobs) {
     urgencies.set(id, { priority: job.priority, latestFinishAt: job.dueAt });
     const dependents = [...graph.dependentsOf(id)].length;
-    openDependents.set(id, dependents);
+    pendingDependents.set(id, dependents);
     if (dependents === 0) ready.push(id);
   }
   for (let id = ready.pop(); id !== undefined; id = ready.pop()) {
@@ -76,15 +79,15 @@
     const runMs = jobs.get(id)?.runMs ?? 0;
     for (const dependency of graph.dependenciesOf(id)) {
       const own = urgencies.get(dependency);
-      if (urgency && own) urgencies.set(dependency, merge(own, urgency, runMs));
-      if (countDown(openDependents, dependency) === 0) ready.push(dependency);
+      if (urgency && own) urgencies.set(dependency, inheritUrgency(own, urgency, runMs));
+      if (decrement(pendingDependents, dependency) === 0) ready.push(dependency);
     }
   }
   for (const id of graph.jobs()) if (!graph.isDependency(id)) urgencies.delete(id);
   return urgencies;
 }
 
-/** The urgencies of the present graph, worked out again only after it has changed. */
+/** The urgencies of the present graph, computed again only after it has changed. */
 export class ChainUrgency {
   #urgencies: ReadonlyMap<string, Urgency> = new Map();
   #version = -1;
@@ -94,7 +97,7 @@
     private readonly cache: WatchCache,
   ) {}
 
-  /** The urgency of a live job that others need; undefined for any other. */
+  /** The urgency of a live job with dependents; undefined for any other. */
   of(id: string): Urgency | undefined {
     if (!this.graph.isDependency(id)) return undefined;
     if (this.graph.version !== this.#version) {
--- a/src/coordination/scheduling/machine-snapshot.ts
+++ b/src/coordination/scheduling/machine-snapshot.ts
@@ -1,14 +1,12 @@
 /** @file Snapshots of machines and of the tasks on them, for the decisions of a round. */
-import type { Job, MachineType, Resources } from '../../protocol/model';
+import type { Job, Resources } from '../../protocol/model';
 import { elapsedS, occupiesResources, type Attempt, type Machine } from '../shard/machine';
 import type { Shard } from '../shard/shard';
+import type { MachineKind } from './constraints';
 
 /** A machine with the room that is free there. */
-export interface MachineSnapshot {
+export interface MachineSnapshot extends MachineKind {
   readonly id: string;
-  readonly type: MachineType;
-  readonly zone: string;
-  readonly spot: boolean;
   readonly free: Resources;
 }
 
