--- a/src/coordination/scheduling/machine-snapshot.ts
+++ b/src/coordination/scheduling/machine-snapshot.ts
@@ -1,6 +1,7 @@
 /** @file Snapshots of machines and of the tasks on them, for the decisions of a round. */
 import type { Job, Resources } from '../../protocol/model';
-import { elapsedS, occupiesResources, type Attempt, type Machine } from '../shard/machine';
+import { elapsedS, occupiesResources, type Attempt } from '../shard/attempt';
+import type { Machine } from '../shard/machine';
 import type { Shard } from '../shard/shard';
 import type { MachineKind } from './constraints';
 
--- a/src/coordination/scheduling/preemption-pass.ts
+++ b/src/coordination/scheduling/preemption-pass.ts
@@ -2,7 +2,7 @@
 import { PRIORITY_RANK, type Job } from '../../protocol/model';
 import type { ControllerContext } from '../controller-context';
 import type { AttemptManager } from '../shard/attempt-manager';
-import { elapsedS, type Attempt } from '../shard/machine';
+import { elapsedS, type Attempt } from '../shard/attempt';
 import type { Shard } from '../shard/shard';
 import { RESOURCE_TOLERANCE } from './constraints';
 import type { QueueEntry } from './job-queue';
