--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -6,8 +6,6 @@
 import { isWithinGuarantee, isWithinQuota, type TeamQuota, type TeamUsage } from './team-quota';
 import { isUnconstrained, UnplaceableSizes } from './unplaceable-sizes';
 
-export type { TeamQuota, TeamUsage } from './team-quota';
-
 /** A machine that may take tasks. */
 export interface PlacementCandidate extends MachineSnapshot {
   readonly cachedImages: ReadonlyMap<string, number>;
--- a/src/coordination/shard/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -8,8 +8,6 @@
 import { MachineResources, type OccupancyListener } from './machine-resources';
 import { WorkerLiveness } from './worker-liveness';
 
-export { elapsedS, occupiesResources } from './attempt';
-
 const BACKOFF_MS = 2_000;
 
 /** Why a machine takes no more tasks and is returned as soon as it may be. */
--- a/src/coordination/shard/resource-usage.ts
+++ b/src/coordination/shard/resource-usage.ts
@@ -1,5 +1,5 @@
 /** @file What the attempts of a shard occupy, by team, by job and by zone. */
-import type { TeamUsage } from '../scheduling/placement';
+import type { TeamUsage } from '../scheduling/team-quota';
 import type { Attempt } from './attempt';
 import type { Machine } from './machine';
 import type { OccupancyListener } from './machine-resources';
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -3,7 +3,7 @@
 import { KEY, PREFIX, read, type MachineRecord } from '../../bookkeeping/records';
 import type { Condition } from '../../protocol/key-value-store';
 import type { ControllerContext } from '../controller-context';
-import type { TeamQuota, TeamUsage } from '../scheduling/placement';
+import type { TeamQuota, TeamUsage } from '../scheduling/team-quota';
 import { DispatchTable } from './dispatch-table';
 import { JobTiming } from './job-timing';
 import { Machine } from './machine';
--- a/src/coordination/shard/team-usage.ts
+++ b/src/coordination/shard/team-usage.ts
@@ -1,6 +1,6 @@
 /** @file What the teams of a shard use, machines included whose tasks are not known yet. */
 import type { ControllerContext } from '../controller-context';
-import type { TeamUsage } from '../scheduling/placement';
+import type { TeamUsage } from '../scheduling/team-quota';
 import { occupiesResources } from './attempt';
 import type { Machine } from './machine';
 import type { Shard } from './shard';
