--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -44,6 +44,58 @@
   'jsdoc/require-file-overview': ['error', { tags: { file: { mustExist: true, preventDuplicates: true } } }],
 };
 
+// Words of the users' protocol, which end in `src/protocol/`: above it the code uses the terms of the glossary in
+// docs/DESIGN.md.
+const wireWords = [
+  'nameId',
+  'docket',
+  'crew',
+  'urgency',
+  'pieces',
+  'cards',
+  'memGb',
+  'frames',
+  'frame',
+  'yard',
+  'yards',
+  'loaners',
+  'sizeGb',
+  'reckonS',
+  'bookmarkS',
+  'stashS',
+  'dueS',
+  'standing',
+  'awaits',
+  'hearth',
+  'hearths',
+  'foreman',
+  'baton',
+  'tally',
+  'warningS',
+  'leewayS',
+  'verb',
+  'booking',
+  'flavors',
+  'stamp',
+  'ledger',
+];
+
+// One word for each concept: `context` for injected services, `controller` or `peer` for a process of this service.
+const nameRules = {
+  'id-denylist': ['error', 'deps', ...wireWords],
+  'no-restricted-syntax': [
+    'error',
+    {
+      selector: 'VariableDeclarator > Identifier.id[name.length=1]',
+      message: 'one-letter names only as parameters of arrow functions',
+    },
+    {
+      selector: ':matches(FunctionDeclaration, FunctionExpression) > Identifier.params[name.length=1]',
+      message: 'one-letter names only as parameters of arrow functions',
+    },
+  ],
+};
+
 // Files that do not follow a rule yet. This list only shrinks: no file is added, and a file that follows goes.
 const notYet = {
   'max-lines': ['test/walk.ts'],
@@ -77,6 +129,11 @@
     plugins: { jsdoc },
     rules: { ...sizeRules, ...docRules },
   },
+  {
+    files: ['src/**/*.ts'],
+    ignores: ['src/protocol/**', 'src/**/*.d.ts'],
+    rules: nameRules,
+  },
   ...Object.entries(notYet).map(([rule, files]) => ({ files, rules: { [rule]: 'off' } })),
   ...layers.map((layer, depth) => ({
     files: [`src/${layer}/**/*.ts`],
--- a/src/admission/admission-control.ts
+++ b/src/admission/admission-control.ts
@@ -12,7 +12,7 @@
 import type { Job } from '../protocol/model';
 import type { ChangeEvent, Condition, KeyValueStore } from '../protocol/key-value-store';
 import { NoResponseError } from '../transport/http-client';
-import { Busy, type RateLimit } from '../transport/rate-limit';
+import { RateLimitExceededError, type RateLimit } from '../transport/rate-limit';
 import { decide } from './decision';
 import type { Epoch } from './epoch';
 import { flowRecordKey, readAdmitted, readEpoch } from './epoch-records';
@@ -91,7 +91,7 @@
       await this.context.lookUps.take(1, 0);
       return true;
     } catch (error) {
-      if (error instanceof Busy) return false;
+      if (error instanceof RateLimitExceededError) return false;
       throw error;
     }
   }
@@ -157,7 +157,7 @@
     const { cache, store } = this.context;
     for (const key of keys) {
       const entry = await store.get(key);
-      if (entry) cache.offer({ ...entry, deleted: false });
+      if (entry) cache.applyNotification({ ...entry, deleted: false });
       // The record was deleted; the watch brings that in a moment.
       else if (cache.get(key)) throw new NoResponseError(`${key} was deleted`, false);
     }
--- a/src/admission/epoch-writer.ts
+++ b/src/admission/epoch-writer.ts
@@ -55,7 +55,7 @@
   async step(signal: AbortSignal): Promise<void> {
     const { cache, clock, formatGate } = this.context;
     await clock.sleep(CHECK_MS, signal);
-    if (signal.aborted || !cache.loaded) return;
+    if (signal.aborted || !cache.isLoaded) return;
     if (this.options) this.#growth.observe(countMachines(cache), clock.now());
     const leaderCondition = this.context.leaderCondition();
     if (!leaderCondition) this.#writtenAt = undefined;
--- a/src/bookkeeping/dependency-tracker.ts
+++ b/src/bookkeeping/dependency-tracker.ts
@@ -26,7 +26,6 @@
  * written there: while its outcome is unknown, the jobs that depend on it wait.
  */
 export class DependencyTracker {
-  readonly graph = new JobGraph();
   readonly #readyListeners: ReadyListener[] = [];
   /** Dependencies that are not live in the copy and whose outcome isn't known. */
   readonly #unread = new Set<string>();
@@ -38,6 +37,7 @@
     private readonly cache: WatchCache,
     private readonly finals: FinalStates,
     private readonly clock: Clock,
+    readonly graph = new JobGraph(),
   ) {
     this.#wake = new WakeSignal(clock);
     cache.onChange((event) => {
@@ -151,7 +151,7 @@
   async step(): Promise<void> {
     await this.#wake.wait(RETRY_MS);
     // While the copy is being loaded, a dependency may seem to have ended whose live record just isn't loaded yet.
-    if (!this.cache.loaded) return;
+    if (!this.cache.isLoaded) return;
     for (const id of [...this.#unread]) if (!this.graph.isDependency(id)) this.#unread.delete(id);
     const unread = [...this.#unread];
     for (let from = 0; from < unread.length; from += READS_AT_ONCE) {
--- a/src/bookkeeping/format-gate.ts
+++ b/src/bookkeeping/format-gate.ts
@@ -44,7 +44,7 @@
 
   /** Logs once when the gate opens, and at intervals while it is closed. */
   #report(): void {
-    if (this.#isReported || !this.context.cache.loaded) return;
+    if (this.#isReported || !this.context.cache.isLoaded) return;
     const now = this.context.clock.now();
     if (this.isOpenFor(RECORD_FORMAT)) {
       this.#isReported = true;
--- a/src/bookkeeping/job-store.ts
+++ b/src/bookkeeping/job-store.ts
@@ -58,7 +58,7 @@
   #learnDependencies(live: Entry): boolean {
     const record = read.job(live.value);
     if (!record?.job.dependencies && record?.dependencyParts === undefined) return false;
-    this.context.cache.offer(eventOfEntry(live));
+    this.context.cache.applyNotification(eventOfEntry(live));
     return true;
   }
 
@@ -78,7 +78,7 @@
   }
 
   /** Caches a final state that the key-value store has acknowledged. */
-  rememberFinal(id: string, final: FinalRecord): JobStatus {
+  learnFinal(id: string, final: FinalRecord): JobStatus {
     return this.context.finals.learn(id, final);
   }
 
@@ -99,7 +99,7 @@
 
   /** To be called when a cancellation was acknowledged with this revision; returns the job's final state. */
   onCancelled({ id, final }: Cancellation, revision: number): JobStatus {
-    const status = this.rememberFinal(id, final);
+    const status = this.learnFinal(id, final);
     this.#publishEnd(id, revision);
     return status;
   }
--- a/src/bookkeeping/session.ts
+++ b/src/bookkeeping/session.ts
@@ -56,7 +56,7 @@
   }
 
   /** Whether the controller may act by its lease in the key-value store alone, without an extension by its peers. */
-  get validByOwnLease(): boolean {
+  get isValidByOwnLease(): boolean {
     return this.#lease !== undefined && this.context.clock.now() < this.#validByOwnLeaseUntil;
   }
 
@@ -65,7 +65,7 @@
    * effect once the right to act has ended.
    */
   extendUntil(until: number): void {
-    if (this.valid) this.#extendedUntil = Math.max(this.#extendedUntil, until);
+    if (this.isValid) this.#extendedUntil = Math.max(this.#extendedUntil, until);
   }
 
   /** Whether the right to act is running out because the key-value store doesn't respond. */
@@ -75,14 +75,14 @@
   }
 
   /** Whether the controller may act at this moment. */
-  get valid(): boolean {
+  get isValid(): boolean {
     return this.context.clock.now() < this.validUntil;
   }
 
   /** One step: gets a lease, or renews it. To be run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
     const { cache, clock, ttlMs } = this.context;
-    if (!cache.loaded) {
+    if (!cache.isLoaded) {
       await clock.sleep(LOAD_POLL_MS, signal);
       return;
     }
--- a/src/bookkeeping/submitted-dependencies.ts
+++ b/src/bookkeeping/submitted-dependencies.ts
@@ -63,7 +63,7 @@
     if (cache.get(KEY.job(id))) return false;
     const live = await store.get(KEY.job(id));
     if (live) {
-      cache.offer(eventOfEntry(live));
+      cache.applyNotification(eventOfEntry(live));
       return false;
     }
     const final = await finals.read(id);
--- a/src/bookkeeping/type-records.ts
+++ b/src/bookkeeping/type-records.ts
@@ -53,14 +53,14 @@
   store: KeyValueStore,
   limits: TypeRecordLimits,
 ): Promise<void> {
-  for (const { conditions, changes } of typeBatches(types, records, limits)) {
+  for (const { conditions, changes } of machineTypeTransactions(types, records, limits)) {
     const result = await store.compareAndSwap(conditions, changes);
     if (!result.ok) return;
   }
 }
 
 /** The transactions that store the types; none when they are stored already, or can't be. */
-export function typeBatches(
+export function machineTypeTransactions(
   types: readonly MachineType[],
   records: Records,
   limits: TypeRecordLimits,
--- a/src/bookkeeping/watch-cache.ts
+++ b/src/bookkeeping/watch-cache.ts
@@ -36,7 +36,7 @@
   constructor(private readonly context: WatchCacheContext) {}
 
   /** Whether the copy is complete. */
-  get loaded(): boolean {
+  get isLoaded(): boolean {
     return this.#loaded;
   }
 
@@ -107,7 +107,7 @@
   }
 
   /** Applies a change that was notified ahead of the watch. */
-  offer(event: ChangeEvent): void {
+  applyNotification(event: ChangeEvent): void {
     // What the watch has passed already is either here or was changed again since. Before the copy is loaded, or while it
     // is read again, changes count all the same: a deletion that was left out then, and a page read before it, would be
     // missing from a grant given before the next watch succeeds.
--- a/src/coordination/autoscaling/cloud-inventory.ts
+++ b/src/coordination/autoscaling/cloud-inventory.ts
@@ -29,7 +29,7 @@
   ) {}
 
   /** Follows which machines' records are deleted. */
-  watch(cache: WatchCache): void {
+  subscribe(cache: WatchCache): void {
     cache.onChange((event) => {
       if (!event.deleted || !event.key.startsWith(PREFIX.machine)) return;
       this.#recordDeletedAt.set(event.key.slice(PREFIX.machine.length), this.clock.now());
--- a/src/coordination/autoscaling/rental-recorder.ts
+++ b/src/coordination/autoscaling/rental-recorder.ts
@@ -61,7 +61,7 @@
       type: option.type,
       zone: option.zone,
       spot: option.spot,
-      booting: true,
+      isBooting: true,
       ageMs: 0,
       idleMs: 0,
     }));
--- a/src/coordination/autoscaling/scaling-input.ts
+++ b/src/coordination/autoscaling/scaling-input.ts
@@ -76,7 +76,7 @@
     type: machine.type,
     zone: machine.record.zone,
     spot: machine.record.spot,
-    booting: !machine.isUp,
+    isBooting: !machine.isUp,
     ageMs: now - machine.knownSince,
     idleMs: isIdle ? now - machine.idleSince : 0,
   };
@@ -91,7 +91,7 @@
     work.push({
       job: table.job,
       count: Math.min(count, table.unassigned),
-      urgent: isUrgent(shard, table, maxBootMs),
+      isUrgent: isUrgent(shard, table, maxBootMs),
       slackMs: shard.slackMs(table),
       zones: shard.usage.zonesOf(id),
     });
--- a/src/coordination/autoscaling/scaling-plan.ts
+++ b/src/coordination/autoscaling/scaling-plan.ts
@@ -11,7 +11,7 @@
 /** A machine of the fleet, as far as renting and returning need to know it. */
 export interface FleetMachine extends MachineKind {
   readonly id: string;
-  readonly booting: boolean;
+  readonly isBooting: boolean;
   /** Time since the rental, as far as known. */
   readonly ageMs: number;
   /** How long it has been empty; 0 while anything is on it. */
@@ -31,7 +31,7 @@
   readonly job: Job;
   readonly count: number;
   /** It is not to wait for room that comes free by itself. */
-  readonly urgent: boolean;
+  readonly isUrgent: boolean;
   /** How long its tasks can still wait and be in time. */
   readonly slackMs: number;
   /** How many of the job's tasks are, or may be, in each zone. */
@@ -117,7 +117,7 @@
     );
     for (const machine of input.machines) increment(this.#machinesPerZone, machine.zone);
     this.#bins = input.machines
-      .filter((machine) => machine.booting)
+      .filter((machine) => machine.isBooting)
       .map((machine) => ({ option: machine, room: emptyRoom(machine.type), isNew: false }));
     this.#freeingCpus = input.freeingCpus;
   }
@@ -155,8 +155,8 @@
   }
 
   /** How many of the tasks will run in room that comes free before a new machine could be up. */
-  #absorb({ job, count, urgent }: UnplacedWork, zones: ZoneCounts): number {
-    if (urgent || !this.#mayUseAny(job, zones)) return 0;
+  #absorb({ job, count, isUrgent }: UnplacedWork, zones: ZoneCounts): number {
+    if (isUrgent || !this.#mayUseAny(job, zones)) return 0;
     const absorbed = Math.min(count, Math.floor(this.#freeingCpus / job.cpus));
     this.#freeingCpus -= absorbed * job.cpus;
     return absorbed;
@@ -169,7 +169,7 @@
   #mayUseAny(job: Job, zones: ZoneCounts): boolean {
     return this.input.machines.some(
       (machine) =>
-        !machine.booting && isEligible(job, machine) && zoneConstraintsAllow(job, zones, machine.zone),
+        !machine.isBooting && isEligible(job, machine) && zoneConstraintsAllow(job, zones, machine.zone),
     );
   }
 
@@ -248,7 +248,8 @@
 /** The machines that were idle for long enough, dearest first, as far as enough room stays free. */
 function chooseScaleIn(input: ScalingInput): string[] {
   const idle = input.machines.filter(
-    (machine) => !machine.booting && machine.idleMs >= input.idleReleaseMs && machine.ageMs >= MIN_CHARGE_MS,
+    (machine) =>
+      !machine.isBooting && machine.idleMs >= input.idleReleaseMs && machine.ageMs >= MIN_CHARGE_MS,
   );
   idle.sort((a, b) => pricePerCpu(b) - pricePerCpu(a) || b.idleMs - a.idleMs);
   const chosen: string[] = [];
--- a/src/coordination/controller-components.ts
+++ b/src/coordination/controller-components.ts
@@ -4,7 +4,7 @@
 import type { Settings } from '../base/settings';
 import { changesAtOnce } from '../base/state-limits';
 import type { KeyValueStore } from '../protocol/key-value-store';
-import { writePeerMessage } from '../protocol/peers';
+import { writePeerMessage, type PeerMessage } from '../protocol/peers';
 import { FixedTimeout } from '../suspicion/peer-liveness';
 import { PeerReachability } from '../suspicion/peer-reachability';
 import { CloudInventory } from './autoscaling/cloud-inventory';
@@ -70,23 +70,17 @@
   const { clock, cache, cloud, suspicion } = context;
   const reachability = new PeerReachability(clock, suspicion ?? new FixedTimeout(clock));
   const cloudInventory = new CloudInventory(cloud, clock);
-  // The two refer to each other: a grant must wait for an acquisition, and an acquisition for the end of a grant.
-  const leaseExtension: LeaseExtension = new LeaseExtension(
-    context,
-    (message) => {
-      environment.broadcast(writePeerMessage(message));
-    },
-    () => acquisition.isAcquiring,
-    environment.startedAt,
-  );
-  const acquisition: ShardAcquisition = new ShardAcquisition(context, reachability, leaseExtension);
+  const broadcast = (message: PeerMessage): void => {
+    environment.broadcast(writePeerMessage(message));
+  };
+  const leaseExtension = new LeaseExtension(context, broadcast, environment.startedAt);
   return {
     progress: new JobProgressTable(cache),
     reachability,
     cloudInventory,
     leaseExtension,
     leader: new Leader(context, cloudInventory, () => !leaseExtension.mayAcquireShards),
-    acquisition,
+    acquisition: new ShardAcquisition(context, reachability, leaseExtension),
     leaseRelay: new LeaseRelay(context, reachability),
     leaderWake: new WakeSignal(clock),
     acquisitionWake: new WakeSignal(clock),
@@ -106,7 +100,7 @@
       progressOf: (id) => progress.get(id),
       waitsForJobs: (id) => dependencies.graph.has(id) && !dependencies.isReady(id),
       teamLimit: (team) => teams.find(({ name }) => name === team)?.cpus_max ?? 0,
-      leaderCondition: () => leader.leadershipCondition(),
+      leaderCondition: () => leader.leaderCondition(),
     },
     admission,
   );
--- a/src/coordination/controller-loops.ts
+++ b/src/coordination/controller-loops.ts
@@ -1,6 +1,6 @@
 /** @file The loops of a controller. */
 import { runLoop } from '../base/loop';
-import { HEARTBEAT_MS } from '../suspicion/options';
+import { HEARTBEAT_INTERVAL_MS } from '../suspicion/options';
 import type { ControllerComponents } from './controller-components';
 
 const LEADER_INTERVAL_MS = 1_000;
@@ -90,7 +90,7 @@
   const { clock, suspicion } = context;
   if (suspicion) start('suspicion', () => suspicion.step(signal));
   start('heartbeat', async () => {
-    await clock.sleep(HEARTBEAT_MS, signal);
+    await clock.sleep(HEARTBEAT_INTERVAL_MS, signal);
     peerMessaging.sendHeartbeat();
   });
 }
--- a/src/coordination/controller-services.ts
+++ b/src/coordination/controller-services.ts
@@ -12,6 +12,7 @@
 import { EndedJobs } from '../bookkeeping/ended-jobs';
 import { FinalStates } from '../bookkeeping/final-states';
 import { FormatGate } from '../bookkeeping/format-gate';
+import { JobGraph } from '../bookkeeping/job-graph';
 import { JobStore, type JobStoreContext } from '../bookkeeping/job-store';
 import { LIVE } from '../bookkeeping/records';
 import { Session } from '../bookkeeping/session';
@@ -133,12 +134,11 @@
   finals: FinalStates,
   clock: Clock,
 ): { endedJobs: EndedJobs; dependencies: DependencyTracker } {
-  // Its listener is called before the graph forgets the job that ended.
-  const endedJobs = new EndedJobs(cache, clock, platform.deployment.workers.cancel_s, (id) =>
-    dependencies.graph.isCancellationPending(id),
-  );
-  const dependencies = new DependencyTracker(cache, finals, clock);
-  return { endedJobs, dependencies };
+  const graph = new JobGraph();
+  const neverStarted = (id: string): boolean => graph.isCancellationPending(id);
+  // Made before the tracker: its listener is to be called before the tracker's, which removes the job from the graph.
+  const endedJobs = new EndedJobs(cache, clock, platform.deployment.workers.cancel_s, neverStarted);
+  return { endedJobs, dependencies: new DependencyTracker(cache, finals, clock, graph) };
 }
 
 /** What the records of jobs are kept in, and what accepting a job needs. */
@@ -181,7 +181,7 @@
     session: createSession(settings, environment, store, cache),
     formatGate: createFormatGate(settings, environment, store, cache),
     publish: (event) => {
-      cache.offer(event);
+      cache.applyNotification(event);
       environment.broadcast(writePeerMessage({ kind: 'change notification', event }));
     },
   };
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -35,7 +35,7 @@
     context.dependencies.onReady(() => {
       for (const owner of acquisition.owners.values()) owner.onJobsReady();
     });
-    cloudInventory.watch(context.cache);
+    cloudInventory.subscribe(context.cache);
     context.cache.onChange((event) => {
       onRecordChange(components, event);
     });
--- a/src/coordination/heartbeat-router.ts
+++ b/src/coordination/heartbeat-router.ts
@@ -25,9 +25,9 @@
   /** Answers without a promise where that is possible, as most heartbeats are. */
   respond(heartbeat: WorkerHeartbeat): HeartbeatResponse | Promise<HeartbeatResponse> {
     const { context, acquisition } = this.components;
-    if (!context.cache.loaded) return { kind: 'undecided' };
+    if (!context.cache.isLoaded) return { kind: 'undecided' };
     for (const owner of acquisition.owners.values()) {
-      if (owner.stopped || !owner.ownsMachine(heartbeat.machine)) continue;
+      if (owner.isStopped || !owner.ownsMachine(heartbeat.machine)) continue;
       return owner.onHeartbeat(heartbeat);
     }
     return this.#respondForOtherOwner(heartbeat);
--- a/src/coordination/machine-types.ts
+++ b/src/coordination/machine-types.ts
@@ -44,7 +44,7 @@
   /** One step, to be run in a loop; calls back when the cloud has listed the types. */
   async refresh(isLeader: boolean, onRefreshed: () => void, signal: AbortSignal): Promise<void> {
     const { cache, store, clock, cloud, formatGate, settings } = this.context;
-    if (!cache.loaded) {
+    if (!cache.isLoaded) {
       await clock.sleep(NOT_LOADED_PAUSE_MS, signal);
       return;
     }
--- a/src/coordination/ownership/leader.ts
+++ b/src/coordination/ownership/leader.ts
@@ -23,7 +23,7 @@
     cloud: CloudInventory,
     mayBeBoundByGrant: () => boolean,
   ) {
-    const leadershipCondition = (): Condition | undefined => this.leadershipCondition();
+    const leadershipCondition = (): Condition | undefined => this.leaderCondition();
     this.#shardAssignment = new ShardAssignment(context, leadershipCondition, mayBeBoundByGrant);
     this.#machineAdoption = new MachineAdoption(context, leadershipCondition, cloud);
     this.#garbageCollector = new RecordGarbageCollector(context);
@@ -32,7 +32,7 @@
   /** Whether this controller leads, as far as its copy of the records shows. */
   get isLeader(): boolean {
     const { cache, controllerId, session } = this.context;
-    return session.valid && read.leader(cache.get(KEY.leader)?.value)?.node === controllerId;
+    return session.isValid && read.leader(cache.get(KEY.leader)?.value)?.node === controllerId;
   }
 
   /**
@@ -40,14 +40,14 @@
    * doesn't. To be asked for right before each write: between two writes of one step another controller may have become
    * the leader, and its record's version would prove nothing.
    */
-  leadershipCondition(): Condition | undefined {
+  leaderCondition(): Condition | undefined {
     return this.isLeader ? { key: KEY.leader, version: this.context.cache.version(KEY.leader) } : undefined;
   }
 
   /** One step; to be run in a loop, and whenever membership changes. */
   async step(): Promise<void> {
     const { cache, store, session, controllerId } = this.context;
-    if (!cache.loaded || !session.valid || session.lease === undefined) return;
+    if (!cache.isLoaded || !session.isValid || session.lease === undefined) return;
     if (!cache.get(KEY.leader)) {
       const change = { put: KEY.leader, value: { node: controllerId }, lease: session.lease };
       const result = await store.compareAndSwap([{ key: KEY.leader, version: 0 }], [change], 'urgent');
@@ -61,6 +61,6 @@
 
   #onElected(event: ChangeEvent): void {
     this.context.log.info({ node: this.context.controllerId }, 'became leader');
-    this.context.cache.offer(event);
+    this.context.cache.applyNotification(event);
   }
 }
--- a/src/coordination/ownership/lease-extension.ts
+++ b/src/coordination/ownership/lease-extension.ts
@@ -27,14 +27,14 @@
   /** For each peer, when the latest request that it granted was sent. */
   readonly #grantedRequestAt = new Map<string, number>();
   #requestNumber = 0;
+  /** Whether this controller may be acquiring a shard at this moment. */
+  #isAcquiring = false;
   /** Steady time up to which grants of this controller forbid it to acquire a shard. */
   #boundUntil: number;
 
   constructor(
     private readonly context: ControllerContext,
     private readonly broadcast: (message: PeerMessage) => void,
-    /** Whether this controller is acquiring a shard at this moment. */
-    private readonly isAcquiring: () => boolean,
     /** Steady time at which this process began. */
     startedAt: number,
   ) {
@@ -47,11 +47,21 @@
     return this.context.clock.now() > this.#boundUntil;
   }
 
+  /** Until `endAcquisition` this controller may acquire a shard, so it grants nothing. */
+  beginAcquisition(): void {
+    this.#isAcquiring = true;
+  }
+
+  /** This controller acquires no shard at present. */
+  endAcquisition(): void {
+    this.#isAcquiring = false;
+  }
+
   /** One step of the requesting side; to be run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
     const { clock, session, store, controllerId, cache } = this.context;
     await clock.sleep(REQUEST_INTERVAL_MS, signal);
-    if (!session.isNearExpiry || !session.valid || !store.isUnavailable) return;
+    if (!session.isNearExpiry || !session.isValid || !store.isUnavailable) return;
     this.#requestNumber += 1;
     this.#requestedAt.set(this.#requestNumber, clock.now());
     this.#requestedAt.delete(this.#requestNumber - REMEMBERED_REQUESTS);
@@ -64,7 +74,7 @@
   /** Grants a peer's request, or ignores it when this controller can reach the key-value store or sees another owner. */
   onRequest(request: LeaseExtensionRequest): void {
     const { clock, store, cache, controllerId } = this.context;
-    if (!store.isUnavailable || this.isAcquiring() || this.#hasLostShard(request.from)) return;
+    if (!store.isUnavailable || this.#isAcquiring || this.#hasLostShard(request.from)) return;
     // The grant has to name the cancellations that the requester may have missed: it would not learn of them while it
     // acts by grants. If this controller no longer remembers all of them, it must not grant.
     const ended = cache.deletedSince(PREFIX.job, request.revision);
@@ -84,7 +94,8 @@
     const { clock, session, cache, controllerId, log } = this.context;
     const requestedAt = this.#requestedAt.get(grant.number);
     if (grant.to !== controllerId || requestedAt === undefined) return;
-    for (const { id, version } of grant.endedJobs) cache.offer({ key: KEY.job(id), version, deleted: true });
+    for (const { id, version } of grant.endedJobs)
+      cache.applyNotification({ key: KEY.job(id), version, deleted: true });
     const previous = this.#grantedRequestAt.get(grant.from) ?? 0;
     this.#grantedRequestAt.set(grant.from, Math.max(previous, requestedAt));
     const until = this.#grantedUntil();
--- a/src/coordination/ownership/lease-relay.ts
+++ b/src/coordination/ownership/lease-relay.ts
@@ -59,7 +59,7 @@
   async step(): Promise<void> {
     const { cache, session, settings, clock } = this.context;
     const { lease: ownLease } = session;
-    if (!cache.loaded || !session.valid || ownLease === undefined) {
+    if (!cache.isLoaded || !session.isValid || ownLease === undefined) {
       this.#relayed.clear();
       return;
     }
@@ -120,7 +120,7 @@
   respond(heartbeat: WorkerHeartbeat, shard: number): RelayResponse | undefined {
     const { cache, session, controllerId } = this.context;
     const isRelayed = session.lease !== undefined && this.#relayed.get(shard) === session.lease;
-    if (!isRelayed || !session.validByOwnLease || heartbeat.attempts.length === 0) return undefined;
+    if (!isRelayed || !session.isValidByOwnLease || heartbeat.attempts.length === 0) return undefined;
     const lease = read.lease(cache.get(KEY.lease(shard))?.value);
     if (!lease || lease.owner === controllerId) return undefined;
     if (this.reachability.reaches(lease.owner, shard)) return undefined;
--- a/src/coordination/ownership/shard-acquisition.ts
+++ b/src/coordination/ownership/shard-acquisition.ts
@@ -27,7 +27,6 @@
   /** Handovers to this controller that are under way, by shard; none with suspicion off. */
   readonly #handovers = new Map<number, HandoverTrace>();
   readonly #shardHandover: ShardHandover;
-  #isAcquiring = false;
 
   constructor(
     private readonly context: ControllerContext,
@@ -42,19 +41,14 @@
     return this.#owners;
   }
 
-  /** Whether a step is under way, which may be acquiring a shard at this moment. */
-  get isAcquiring(): boolean {
-    return this.#isAcquiring;
-  }
-
   /** One step: gives up what is assigned elsewhere, hands over, and acquires. To be run in a loop. */
   async step(): Promise<void> {
-    this.#isAcquiring = true;
+    this.leaseExtension.beginAcquisition();
     try {
       for (const owner of [...this.#owners.values()]) await this.#review(owner);
       await this.#acquireAssigned();
     } finally {
-      this.#isAcquiring = false;
+      this.leaseExtension.endAcquisition();
     }
   }
 
@@ -70,14 +64,14 @@
       // Only after the stop: once the lease is gone the other controller may acquire the shard.
       await store.compareAndSwap([owner.leaseCondition()], [{ delete: KEY.lease(shard) }], 'urgent');
     }
-    if (!owner.stopped) await this.#shardHandover.handOverIfUnreachable(owner);
-    if (!owner.stopped) await this.#shardHandover.handOverIfPlanned(owner);
-    if (owner.stopped) this.#owners.delete(shard);
+    if (!owner.isStopped) await this.#shardHandover.handOverIfUnreachable(owner);
+    if (!owner.isStopped) await this.#shardHandover.handOverIfPlanned(owner);
+    if (owner.isStopped) this.#owners.delete(shard);
   }
 
   async #acquireAssigned(): Promise<void> {
     const { cache, settings, types } = this.context;
-    if (!cache.loaded || types().length === 0) return;
+    if (!cache.isLoaded || types().length === 0) return;
     for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
       if (this.#owners.has(shard)) continue;
       const outcome = await this.#acquireIfAssigned(shard);
@@ -87,7 +81,7 @@
 
   async #acquireIfAssigned(shard: number): Promise<AcquisitionOutcome> {
     const { cache, session, controllerId } = this.context;
-    if (!session.valid || session.lease === undefined) return 'lost';
+    if (!session.isValid || session.lease === undefined) return 'lost';
     const leaseEntry = cache.get(KEY.lease(shard));
     if (leaseEntry) {
       const isOwnLease = read.lease(leaseEntry.value)?.owner === controllerId;
@@ -136,8 +130,8 @@
     if (!result.ok) return 'refused';
     const { revision } = result;
     // The owner starts from a copy of the records that holds everything the previous owner could have acted on.
-    while (cache.revision < revision && session.valid) await clock.sleep(VIEW_POLL_MS);
-    if (!session.valid || read.lease(cache.get(KEY.lease(shard))?.value)?.owner !== controllerId) {
+    while (cache.revision < revision && session.isValid) await clock.sleep(VIEW_POLL_MS);
+    if (!session.isValid || read.lease(cache.get(KEY.lease(shard))?.value)?.owner !== controllerId) {
       log.warn({ shard }, 'shard lease lost during acquisition');
       return 'lost';
     }
--- a/src/coordination/ownership/shard-handover.ts
+++ b/src/coordination/ownership/shard-handover.ts
@@ -23,11 +23,11 @@
   /** Hands the shard over if most of its workers don't reach this controller and do reach another one. */
   async handOverIfUnreachable(owner: ShardOwner): Promise<void> {
     const { shard } = owner;
-    const { machines, unheard } = owner.workerReachability();
-    const successor = this.reachability.successor(shard, machines, unheard);
+    const { machines, unreachable } = owner.workerReachability();
+    const successor = this.reachability.successor(shard, machines, unreachable);
     if (successor === undefined || this.#record(shard) === undefined) return;
     this.context.log.info(
-      { shard, successor, machines, unheard },
+      { shard, successor, machines, unreachable },
       'handing shard over: its workers reach another controller only',
     );
     owner.stop('its workers reach another controller only');
@@ -60,7 +60,7 @@
   async #drain(owner: ShardOwner): Promise<void> {
     const { clock, session } = this.context;
     const until = clock.now() + DRAIN_MS;
-    while (owner.commandsInFlight > 0 && clock.now() < until && session.valid) {
+    while (owner.commandsInFlight > 0 && clock.now() < until && session.isValid) {
       await clock.sleep(DRAIN_POLL_MS);
     }
   }
--- a/src/coordination/peer-messaging.ts
+++ b/src/coordination/peer-messaging.ts
@@ -47,7 +47,7 @@
     const { context, leaseExtension, reachability, progress } = this.components;
     switch (message.kind) {
       case 'change notification':
-        context.cache.offer(message.event);
+        context.cache.applyNotification(message.event);
         return;
       case 'lease extension request':
         leaseExtension.onRequest(message.request);
@@ -65,8 +65,8 @@
   #heartbeat(owners: readonly ShardOwner[]): Omit<PeerHeartbeat, 'jobs'> {
     const { context, reachability, readiness } = this.components;
     const unreachable = owners.filter((owner) => {
-      const { machines, unheard } = owner.workerReachability();
-      return areMostUnreachable(machines, unheard);
+      const { machines, unreachable } = owner.workerReachability();
+      return areMostUnreachable(machines, unreachable);
     });
     const heartbeat = {
       from: context.controllerId,
--- a/src/coordination/readiness.ts
+++ b/src/coordination/readiness.ts
@@ -24,7 +24,7 @@
   /** Whether it has its copy of the records and the machine types, without which it can decide no request. */
   get isInitialized(): boolean {
     const { context, machineTypes } = this.components;
-    return context.cache.loaded && machineTypes.all.length > 0;
+    return context.cache.isLoaded && machineTypes.all.length > 0;
   }
 
   /** Whether its view of the key-value store is recent. */
@@ -42,9 +42,9 @@
     const { context, reachability } = this.components;
     const { clock, cache, settings } = context;
     if (this.isViewFresh || settings.platform.others.length === 0) return true;
-    if (clock.now() - reachability.heardAt > PEERS_SILENT_AFTER_MS) return false;
+    if (clock.now() - reachability.lastHeartbeatAt > PEERS_SILENT_AFTER_MS) return false;
     // In an outage all lose it, though not all notice at the same moment: each removal by the load balancer makes the
     // next return slower, so only peers that go on reaching it for longer count.
-    return reachability.freshPeerAt < cache.freshAt + VIEW_FRESH_FOR_MS + OUTAGE_NOTICE_SPREAD_MS;
+    return reachability.lastFreshHeartbeatAt < cache.freshAt + VIEW_FRESH_FOR_MS + OUTAGE_NOTICE_SPREAD_MS;
   }
 }
--- a/src/coordination/scheduling/chain-urgency.ts
+++ b/src/coordination/scheduling/chain-urgency.ts
@@ -21,9 +21,9 @@
   readonly runMs: number;
 }
 
-function earlier(a: number | undefined, b: number | undefined): number | undefined {
-  if (a === undefined) return b;
-  return b === undefined ? a : Math.min(a, b);
+function earlier(first: number | undefined, second: number | undefined): number | undefined {
+  if (first === undefined) return second;
+  return second === undefined ? first : Math.min(first, second);
 }
 
 /** The urgency of a job with one more dependent taken into account. */
@@ -75,11 +75,11 @@
     if (dependents === 0) ready.push(id);
   }
   for (let id = ready.pop(); id !== undefined; id = ready.pop()) {
-    const urgency = urgencies.get(id);
+    const ofDependent = urgencies.get(id);
     const runMs = jobs.get(id)?.runMs ?? 0;
     for (const dependency of graph.dependenciesOf(id)) {
       const own = urgencies.get(dependency);
-      if (urgency && own) urgencies.set(dependency, inheritUrgency(own, urgency, runMs));
+      if (ofDependent && own) urgencies.set(dependency, inheritUrgency(own, ofDependent, runMs));
       if (decrement(pendingDependents, dependency) === 0) ready.push(dependency);
     }
   }
--- a/src/coordination/scheduling/eager-reissue.ts
+++ b/src/coordination/scheduling/eager-reissue.ts
@@ -5,7 +5,7 @@
 import type { Machine } from '../shard/machine';
 import type { Shard } from '../shard/shard';
 import { fitsInto, isEligible } from './constraints';
-import { eagerCandidates, type EagerResult, type MonitoredMachine } from './eager';
+import { chooseEagerCandidates, type EagerResult, type MonitoredMachine } from './eager';
 import {
   jobHoldingRoom,
   snapshotMachine,
@@ -42,7 +42,7 @@
 
   #decide(now: number): EagerResult {
     const { heartbeatTimeoutMs, unresponsiveReturnMs } = this.shard.timing;
-    return eagerCandidates({
+    return chooseEagerCandidates({
       machines: this.#monitoredMachines(),
       now,
       heartbeatTimeoutMs,
--- a/src/coordination/scheduling/eager.ts
+++ b/src/coordination/scheduling/eager.ts
@@ -37,7 +37,7 @@
 const PARTITION_SHARE = 0.3;
 
 /** Chooses the machines whose heartbeats stopped through their own failure, and which of them to return. */
-export function eagerCandidates(input: EagerInput): EagerResult {
+export function chooseEagerCandidates(input: EagerInput): EagerResult {
   const unresponsive = input.machines.filter((machine) => isUnresponsive(machine, input));
   unresponsive.sort((a, b) => sinceHeartbeatMs(b, input) - sinceHeartbeatMs(a, input));
   const failed = withoutPartitions(unresponsive, input.machines);
--- a/src/coordination/scheduling/job-queue.ts
+++ b/src/coordination/scheduling/job-queue.ts
@@ -51,19 +51,20 @@
   return queue.sort(compareEntries);
 }
 
-function compareEntries(a: QueueEntry, b: QueueEntry): number {
-  if (a.kind === 'boosted' && b.kind === 'boosted') return compareBoosted(a.waiting, b.waiting);
-  const byRank = rank(a) - rank(b) || lateness(a) - lateness(b);
+function compareEntries(first: QueueEntry, second: QueueEntry): number {
+  if (first.kind === 'boosted' && second.kind === 'boosted')
+    return compareBoosted(first.waiting, second.waiting);
+  const byRank = rank(first) - rank(second) || lateness(first) - lateness(second);
   if (byRank !== 0) return byRank;
-  return lateness(a) === 1
-    ? a.waiting.remainingCpuS - b.waiting.remainingCpuS
-    : a.waiting.slackMs - b.waiting.slackMs;
+  return lateness(first) === 1
+    ? first.waiting.remainingCpuS - second.waiting.remainingCpuS
+    : first.waiting.slackMs - second.waiting.slackMs;
 }
 
 /** What has not started goes before an older job that has, which might use up its team's limit by itself. */
-function compareBoosted(a: WaitingJob, b: WaitingJob): number {
-  const byStart = Number(a.hasStarted) - Number(b.hasStarted);
-  return byStart !== 0 ? byStart : a.submittedAt - b.submittedAt;
+function compareBoosted(first: WaitingJob, second: WaitingJob): number {
+  const byStart = Number(first.hasStarted) - Number(second.hasStarted);
+  return byStart !== 0 ? byStart : first.submittedAt - second.submittedAt;
 }
 
 function rank({ waiting, kind }: QueueEntry): number {
--- a/src/coordination/scheduling/machine-snapshot.ts
+++ b/src/coordination/scheduling/machine-snapshot.ts
@@ -59,5 +59,5 @@
 
 /** How long the attempt will run on, as far as estimates tell; negative when it runs past its estimate. */
 export function remainingRunS(shard: Shard, attempt: Attempt, job: Job, now: number): number {
-  return shard.runTimes.runS(job) - elapsedS(attempt, now);
+  return shard.runTimes.runTimeS(job) - elapsedS(attempt, now);
 }
--- a/src/coordination/scheduling/placement-pass.ts
+++ b/src/coordination/scheduling/placement-pass.ts
@@ -53,7 +53,7 @@
   run(queue: readonly QueueEntry[], now: number, timeIsUp: () => boolean): void {
     const input = this.#observe(queue, now);
     const result = placeTasks(input, timeIsUp);
-    for (const placement of result.placements) this.attempts.issue(placement, now);
+    for (const placement of result.placements) this.attempts.issue(placement);
     if (input.cursor === 0) this.#unplaced = result.unplaced;
     else for (const [job, count] of result.unplaced) this.#unplaced.set(job, count);
     this.#cursor = result.cursor ?? 0;
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -226,6 +226,6 @@
 }
 
 /** The lowest priority first, then the least loss. */
-function compareVictims(a: PreemptibleTask, b: PreemptibleTask): number {
-  return PRIORITY_RANK[b.job.priority] - PRIORITY_RANK[a.job.priority] || a.lossS - b.lossS;
+function compareVictims(first: PreemptibleTask, second: PreemptibleTask): number {
+  return PRIORITY_RANK[second.job.priority] - PRIORITY_RANK[first.job.priority] || first.lossS - second.lossS;
 }
--- a/src/coordination/scheduling/unplaceable-sizes.ts
+++ b/src/coordination/scheduling/unplaceable-sizes.ts
@@ -18,8 +18,8 @@
   }
 }
 
-function isAtLeast(a: Resources, b: Resources): boolean {
-  return a.cpus >= b.cpus && a.gpus >= b.gpus && a.memoryGb >= b.memoryGb;
+function isAtLeast(resources: Resources, bound: Resources): boolean {
+  return resources.cpus >= bound.cpus && resources.gpus >= bound.gpus && resources.memoryGb >= bound.memoryGb;
 }
 
 /** Whether a task of the job may go to any machine. Only then does its lack of room say something of other jobs. */
--- a/src/coordination/scheduling/waiting-jobs.ts
+++ b/src/coordination/scheduling/waiting-jobs.ts
@@ -25,7 +25,7 @@
   now: number,
 ): WaitingJob {
   const { job } = table;
-  const runS = shard.runTimes.runS(job);
+  const runS = shard.runTimes.runTimeS(job);
   const slackMs = shard.slackMs(table);
   const hasStarted = table.done > 0 || table.issued.size > 0;
   return {
--- a/src/coordination/shard/attempt-manager.ts
+++ b/src/coordination/shard/attempt-manager.ts
@@ -40,8 +40,7 @@
     return describeTask(this.shard.tables.get(id)?.job);
   }
 
-  /** Issues the next task of a job to the machine on which it was placed; `now` is the time of the round. */
-  issue(placement: Placement, now: number): void;
+  /** Issues the next task of a job to the machine on which it was placed. */
   issue({ job, machine: id, isBoosted }: Placement): void {
     const table = this.shard.tables.get(job);
     const machine = this.shard.machines.get(id);
--- a/src/coordination/shard/completion-recorder.ts
+++ b/src/coordination/shard/completion-recorder.ts
@@ -216,7 +216,7 @@
       return;
     }
     const { id } = table.job;
-    this.context.jobs.rememberFinal(id, final);
+    this.context.jobs.learnFinal(id, final);
     this.context.log.info({ job: id, tasks: table.job.tasks }, 'job done');
     this.context.publish({ key: KEY.job(id), version: revision, deleted: true });
     this.shard.closeJob(id);
--- a/src/coordination/shard/image-cache.ts
+++ b/src/coordination/shard/image-cache.ts
@@ -12,9 +12,9 @@
   }
 
   /** The image is used: it is the last one to be evicted. */
-  touch(image: string, sizeGb: number): void {
+  touch(image: string, imageGb: number): void {
     this.#sizesGb.delete(image);
-    this.#sizesGb.set(image, sizeGb);
+    this.#sizesGb.set(image, imageGb);
     let total = 0;
     for (const size of this.#sizesGb.values()) total += size;
     for (const [oldest, size] of this.#sizesGb) {
--- a/src/coordination/shard/job-timing.ts
+++ b/src/coordination/shard/job-timing.ts
@@ -20,7 +20,9 @@
 
   /** How long the job's tasks can still wait and be in time, as far as estimates tell. */
   slackMs(table: DispatchTable): number {
-    return this.#dueAt(table) - this.runTimes.runS(table.job) * 1000 - this.context.clock.date().getTime();
+    return (
+      this.#dueAt(table) - this.runTimes.runTimeS(table.job) * 1000 - this.context.clock.date().getTime()
+    );
   }
 
   /**
@@ -46,7 +48,7 @@
     const chainDueAt = this.context.chainUrgency.of(table.job.id)?.latestFinishAt;
     const ownDueAt = this.#ownDueAt(table);
     if (ownDueAt !== undefined) return Math.min(ownDueAt, chainDueAt ?? Infinity);
-    const usualDueAt = table.waitingSince + USUAL_RUNS * this.runTimes.runS(table.job) * 1000;
+    const usualDueAt = table.waitingSince + USUAL_RUNS * this.runTimes.runTimeS(table.job) * 1000;
     return chainDueAt ?? usualDueAt;
   }
 
--- a/src/coordination/shard/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -142,8 +142,8 @@
   }
 
   /** The image is used, or about to be. */
-  touchImage(image: string, sizeGb: number): void {
-    this.#images.touch(image, sizeGb);
+  touchImage(image: string, imageGb: number): void {
+    this.#images.touch(image, imageGb);
   }
 
   /** The start certainly never happened (refused, or never sent). */
--- a/src/coordination/shard/probe-queue.ts
+++ b/src/coordination/shard/probe-queue.ts
@@ -27,7 +27,7 @@
   /** Fills the queue anew; those that were not probed for the longest time go first. */
   fill(now: number): void {
     const { shard } = this;
-    const due = new Set(shard.isAwaitingWorkers(now) ? [] : shard.unconfirmed);
+    const due = new Set(shard.isAwaitingWorkers(now) ? [] : shard.unconfirmedMachines);
     // Workers whose leases another controller relays may be within our reach all the same: their heartbeats go there, so
     // they are probed.
     const { isRelayed } = shard;
--- a/src/coordination/shard/run-time-estimates.ts
+++ b/src/coordination/shard/run-time-estimates.ts
@@ -19,7 +19,7 @@
   }
 
   /** The expected run time of a task of the job, in seconds. */
-  runS(job: Job): number {
+  runTimeS(job: Job): number {
     return job.estimateS * (this.#ratios.get(job.jobClass) ?? 1);
   }
 }
--- a/src/coordination/shard/shard-owner.ts
+++ b/src/coordination/shard/shard-owner.ts
@@ -121,8 +121,8 @@
 
   /** Ends all that the owner does. */
   stop(why: string): void {
-    if (this.stopped) return;
-    this.#shard.stopped = true;
+    if (this.isStopped) return;
+    this.#shard.isStopped = true;
     this.#stop.abort();
     this.#rounds.abandonHandover();
     this.context.log.info(
@@ -149,8 +149,8 @@
   }
 
   /** Whether this owner has ended. */
-  get stopped(): boolean {
-    return this.#shard.stopped;
+  get isStopped(): boolean {
+    return this.#shard.isStopped;
   }
 
   /** Whether this controller may act for the shard at this very moment. */
@@ -179,7 +179,7 @@
   }
 
   /** How many machines should send heartbeats here, and how many of them have not for a while. */
-  workerReachability(): { machines: number; unheard: number } {
+  workerReachability(): { machines: number; unreachable: number } {
     return this.#shard.workerReachability(this.context.clock.now());
   }
 
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -49,7 +49,7 @@
   readonly runTimes = new RunTimeEstimates();
   readonly teams: ReadonlyMap<string, TeamQuota>;
   readonly timing: WorkerTiming;
-  stopped = false;
+  isStopped = false;
   /** A command ended without showing what became of a start that it carried. */
   hasUnconfirmedStarts = false;
   readonly #confirmation: MachineConfirmation;
@@ -97,7 +97,7 @@
 
   /** Whether this controller may act for the shard at this very moment. */
   get entitled(): boolean {
-    return !this.stopped && this.context.session.valid;
+    return !this.isStopped && this.context.session.isValid;
   }
 
   /** The condition that proves, inside a transaction, that this controller still owns the shard. */
@@ -198,13 +198,13 @@
   }
 
   /** Machines that an earlier owner's starts may still reach: no message of theirs has shown the owner's token. */
-  get unconfirmed(): ReadonlySet<Machine> {
+  get unconfirmedMachines(): ReadonlySet<Machine> {
     return this.#confirmation.unconfirmed;
   }
 
   /** Every machine of the shard is confirmed: it showed the owner's token, or its lease from before has expired. */
   get areAllMachinesConfirmed(): boolean {
-    return this.unconfirmed.size === 0 && this.usage.unattributedTasks === 0;
+    return this.unconfirmedMachines.size === 0 && this.usage.unattributedTasks === 0;
   }
 
   /** Nothing that an earlier owner sent can still start on the machine. */
@@ -223,10 +223,10 @@
   }
 
   /** How many machines should send heartbeats here, and how many of them have not for a while. */
-  workerReachability(now: number): { machines: number; unheard: number } {
+  workerReachability(now: number): { machines: number; unreachable: number } {
     const { heartbeatTimeoutMs } = this.timing;
     const reporting = [...this.machines.values()].filter((machine) => machine.isUp && !machine.isTerminated);
-    const unheard = reporting.filter((machine) => machine.hasMissedHeartbeats(now, heartbeatTimeoutMs));
-    return { machines: reporting.length, unheard: unheard.length };
+    const unreachable = reporting.filter((machine) => machine.hasMissedHeartbeats(now, heartbeatTimeoutMs));
+    return { machines: reporting.length, unreachable: unreachable.length };
   }
 }
--- a/src/coordination/shard/team-usage.ts
+++ b/src/coordination/shard/team-usage.ts
@@ -28,7 +28,7 @@
 
 /** The resources of machines on which not all tasks are known, or not whose they are. */
 function unaccountedResources(shard: Shard): TeamUsage {
-  const machines = shard.usage.unattributedTasks > 0 ? shard.machines.values() : shard.unconfirmed;
+  const machines = shard.usage.unattributedTasks > 0 ? shard.machines.values() : shard.unconfirmedMachines;
   let cpus = 0;
   let gpus = 0;
   for (const machine of machines) {
--- a/src/suspicion/options.ts
+++ b/src/suspicion/options.ts
@@ -5,7 +5,7 @@
 import { silenceFor } from './phi';
 
 /** Time between two heartbeats of a controller (`PeerHeartbeat`), in milliseconds. */
-export const HEARTBEAT_MS = 1_000;
+export const HEARTBEAT_INTERVAL_MS = 1_000;
 const MS_PER_S = 1_000;
 /** A fixed timeout has to outlast one lost heartbeat. */
 const MIN_TIMEOUT_S = 1.5;
@@ -68,7 +68,7 @@
   const options = readSuspicionOptions(settings);
   if (!options) return null;
   const { minDeviationMs, phiThreshold, timeoutMs, detector } = options;
-  const regular = { meanMs: HEARTBEAT_MS, deviationMs: minDeviationMs };
+  const regular = { meanMs: HEARTBEAT_INTERVAL_MS, deviationMs: minDeviationMs };
   return {
     ...options,
     suspectedAfterMs: detector === 'fixed' ? timeoutMs : silenceFor(phiThreshold, regular),
--- a/src/suspicion/peer-detector.ts
+++ b/src/suspicion/peer-detector.ts
@@ -1,21 +1,21 @@
 /** @file The failure detector: turns heartbeats, silence and the opinions of other controllers into a status for each peer. */
 import type { PeerOpinion, PeerView } from '../protocol/peer-view';
 import { HeartbeatIntervals } from './heartbeat-intervals';
-import { HEARTBEAT_MS, type SuspicionOptions } from './options';
+import { HEARTBEAT_INTERVAL_MS, type SuspicionOptions } from './options';
 import { observe, unknownState, type PeerObservation, type PeerState } from './peer-state';
 import { RunningClock } from './running-clock';
 import { assessSilence } from './silence';
 
 /** Messages of a peer that arrive closer together belong to one heartbeat, or waited in a buffer together. */
-const SAME_HEARTBEAT_MS = HEARTBEAT_MS / 10;
+const SAME_HEARTBEAT_MS = HEARTBEAT_INTERVAL_MS / 10;
 /** A view counts for so many heartbeats of running time. */
-const VIEW_LIFETIME_MS = 3 * HEARTBEAT_MS;
+const VIEW_LIFETIME_MS = 3 * HEARTBEAT_INTERVAL_MS;
 /**
  * A heartbeat that another controller received counts for so long. By then that controller has reported the next one, if
  * there was one: both come once a second. What others merely know from others doesn't count, so that no hearsay goes round
  * in a circle.
  */
-const INDIRECT_HEARTBEAT_MS = 2.5 * HEARTBEAT_MS;
+const INDIRECT_HEARTBEAT_MS = 2.5 * HEARTBEAT_INTERVAL_MS;
 
 /** The status of a peer changed. */
 export interface StatusChange {
--- a/src/suspicion/peer-reachability.ts
+++ b/src/suspicion/peer-reachability.ts
@@ -42,12 +42,12 @@
   }
 
   /** Steady time of the latest heartbeat of any peer. */
-  get heardAt(): number {
+  get lastHeartbeatAt(): number {
     return this.#heardAt;
   }
 
   /** Steady time of the latest heartbeat of a peer whose view of the key-value store was fresh. */
-  get freshPeerAt(): number {
+  get lastFreshHeartbeatAt(): number {
     return this.#freshPeerAt;
   }
 
--- a/src/suspicion/successor.ts
+++ b/src/suspicion/successor.ts
@@ -25,8 +25,8 @@
 }
 
 /** False before true. */
-function falseFirst(a: boolean, b: boolean): number {
-  return Number(a) - Number(b);
+function falseFirst(first: boolean, second: boolean): number {
+  return Number(first) - Number(second);
 }
 
 /**
--- a/src/suspicion/suspicion.ts
+++ b/src/suspicion/suspicion.ts
@@ -210,7 +210,7 @@
 
   #sessionOf(peer: string): SessionState {
     const { cache } = this.context;
-    if (!cache.loaded) return 'unknown';
+    if (!cache.isLoaded) return 'unknown';
     return cache.get(KEY.controller(peer)) === undefined ? 'ended' : 'exists';
   }
 
--- a/src/transport/rate-limit.ts
+++ b/src/transport/rate-limit.ts
@@ -4,8 +4,8 @@
 const MS_PER_S = 1_000;
 
 /** The wait for a turn would be longer than the caller accepts; nothing was taken. */
-export class Busy extends Error {
-  override name = 'Busy';
+export class RateLimitExceededError extends Error {
+  override name = 'RateLimitExceededError';
 }
 
 /**
@@ -36,7 +36,7 @@
     this.#fill();
     const missing = Math.min(count, this.burst) - this.#tokens;
     const waitMs = (missing / this.perSecond) * MS_PER_S;
-    if (waitMs > maxWaitMs) throw new Busy(`a turn is ${Math.round(waitMs)} ms away`);
+    if (waitMs > maxWaitMs) throw new RateLimitExceededError(`a turn is ${Math.round(waitMs)} ms away`);
     this.#tokens -= count;
     if (waitMs > 0) await this.clock.sleep(waitMs);
   }
--- a/test/gap.test.ts
+++ b/test/gap.test.ts
@@ -195,7 +195,7 @@
 
 test('what a node confirmed before its copy was loaded is named in its promises', async () => {
   const state = new ScriptedWatch();
-  state.cache.offer(ended(7, 3));
+  state.cache.applyNotification(ended(7, 3));
   await state.step();
   assert.deepEqual(state.cache.deletedSince('live/job/', 0), [{ key: 'live/job/req-7', version: 3 }]);
 });
@@ -203,7 +203,7 @@
 test('remembered ends are bounded, and those ahead of the watch are never forgotten', async () => {
   const state = new ScriptedWatch();
   await state.step();
-  state.cache.offer(ended(0, 9_000));
+  state.cache.applyNotification(ended(0, 9_000));
   state.events = Array.from({ length: 5_000 }, (_, n) => ended(n + 1, n + 1));
   state.revision = 5_000;
   await state.step();
--- a/test/limited-service.ts
+++ b/test/limited-service.ts
@@ -73,7 +73,7 @@
 
   async load(): Promise<void> {
     await this.clock.advance(100);
-    assert.ok(this.cache.loaded);
+    assert.ok(this.cache.isLoaded);
   }
 
   /** Lets time pass until it is done, and a little longer for the watches to tell of it. */
--- a/test/load/detectors.ts
+++ b/test/load/detectors.ts
@@ -1,7 +1,7 @@
 /** @file Compares failure detectors in simulation: the same faults, by the same seeds, seen by each of them. */
 import { parseArgs } from 'node:util';
 import type { PeerView } from '../../src/protocol/peer-view';
-import { HEARTBEAT_MS } from '../../src/suspicion/options';
+import { HEARTBEAT_INTERVAL_MS } from '../../src/suspicion/options';
 import { PeerDetector } from '../../src/suspicion/peer-detector';
 import { TICK_MS } from '../../src/suspicion/running-clock';
 import { DEFAULT_OPTIONS } from '../suspicion-defaults';
@@ -102,7 +102,7 @@
   const names = Array.from({ length: CONTROLLERS }, (_, index) => String(index));
   const isStopped: boolean[] = names.map(() => false);
   const stoppedAt: number[] = names.map(() => 0);
-  const nextBeatAt: number[] = names.map((_, index) => HEARTBEAT_MS + index * 100);
+  const nextBeatAt: number[] = names.map((_, index) => HEARTBEAT_INTERVAL_MS + index * 100);
   const mostSince: (number | undefined)[] = names.map(() => undefined);
   const frozenAt: (number | undefined)[] = names.map(() => undefined);
   const inbox: { view: PeerView; from: number }[][] = names.map(() => []);
@@ -143,7 +143,7 @@
   };
 
   const speak = (index: number, detector: PeerDetector): void => {
-    nextBeatAt[index] = now + HEARTBEAT_MS + random(-JITTER_MS, JITTER_MS);
+    nextBeatAt[index] = now + HEARTBEAT_INTERVAL_MS + random(-JITTER_MS, JITTER_MS);
     const opinions = variant.isIndirect ? detector.opinions(now) : [];
     const view = { run: 1, incarnation: 0, isStalled: false, opinions };
     for (const [to, box] of inbox.entries()) {
--- a/test/scaling-plan.test.ts
+++ b/test/scaling-plan.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { chooseConsolidation } from '../src/coordination/scheduling/consolidation';
-import { eagerCandidates } from '../src/coordination/scheduling/eager';
+import { chooseEagerCandidates } from '../src/coordination/scheduling/eager';
 import { planScaling, type ScalingInput } from '../src/coordination/autoscaling/scaling-plan';
 import { job, roomy, type } from './decision-inputs';
 
@@ -11,7 +11,7 @@
     ...{ id: `m${n}`, zone: n < 5 ? 'a' : 'b', lastHeartbeatAt: 100_000, isBusy: true, blocksShard: false },
   }));
   const ask = (silent: (id: string) => boolean, heardAt = 90_000, blocksShard = false) =>
-    eagerCandidates({
+    chooseEagerCandidates({
       machines: fleet.map((m) => (silent(m.id) ? { ...m, lastHeartbeatAt: heardAt, blocksShard } : m)),
       ...{ now: 100_000, heartbeatTimeoutMs: 2_000, returnAfterMs: 12_000, shardBlockedMs: 5_000 },
     });
@@ -27,12 +27,12 @@
 
 test('machines are rented for the backlog only, the cheapest first, and kept for what they have cost', () => {
   const input: ScalingInput = {
-    unplaced: [{ job: job('big', 'blue', 'normal', { tasks: 10 }), count: 10, urgent: false, slackMs: 0 }],
+    unplaced: [{ job: job('big', 'blue', 'normal', { tasks: 10 }), count: 10, isUrgent: false, slackMs: 0 }],
     machines: [
-      { id: 'booting', type, zone: 'a', spot: true, booting: true, ageMs: 1000, idleMs: 0 },
-      { id: 'young', type, zone: 'a', spot: true, booting: false, ageMs: 30_000, idleMs: 25_000 },
-      { id: 'dear', type, zone: 'a', spot: false, booting: false, ageMs: 90_000, idleMs: 25_000 },
-      { id: 'cheap', type, zone: 'a', spot: true, booting: false, ageMs: 90_000, idleMs: 25_000 },
+      { id: 'booting', type, zone: 'a', spot: true, isBooting: true, ageMs: 1000, idleMs: 0 },
+      { id: 'young', type, zone: 'a', spot: true, isBooting: false, ageMs: 30_000, idleMs: 25_000 },
+      { id: 'dear', type, zone: 'a', spot: false, isBooting: false, ageMs: 90_000, idleMs: 25_000 },
+      { id: 'cheap', type, zone: 'a', spot: true, isBooting: false, ageMs: 90_000, idleMs: 25_000 },
     ],
     types: [type],
     isBackedOff: () => false,
--- a/test/state-limits-fall.test.ts
+++ b/test/state-limits-fall.test.ts
@@ -77,7 +77,7 @@
   static async take(service: Service, options: { isOpen: boolean; next?: unknown }): Promise<Owner> {
     const cache = service.secondCache();
     await service.clock.advance(500);
-    assert.ok(cache.loaded);
+    assert.ok(cache.isLoaded);
     return new Owner(service, cache, options.isOpen, options.next);
   }
 
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -10,7 +10,7 @@
   groupByRecord,
   readCompletions,
 } from '../src/bookkeeping/completion-records';
-import { readTypes, storeTypes, typeBatches } from '../src/bookkeeping/type-records';
+import { readTypes, storeTypes, machineTypeTransactions } from '../src/bookkeeping/type-records';
 import type { MachineType } from '../src/protocol/model';
 import { FALLEN, FALLEN_SERVICE, NOW, platform, Service } from './limited-service';
 
@@ -153,15 +153,15 @@
       changes: [{ put: 'live/types', value: { types: few } }],
     },
   ];
-  assert.deepEqual(typeBatches(few, service.cache, fallen), expected);
-  assert.equal(typeBatches(many, service.cache, { ...fallen, mayUseParts: false }).length, 1);
+  assert.deepEqual(machineTypeTransactions(few, service.cache, fallen), expected);
+  assert.equal(machineTypeTransactions(many, service.cache, { ...fallen, mayUseParts: false }).length, 1);
   await service.whileDoing(storeTypes(few, service.cache, service.store, fallen));
-  assert.deepEqual(typeBatches(few, service.cache, fallen), []);
+  assert.deepEqual(machineTypeTransactions(few, service.cache, fallen), []);
   service.state.limits = { ...FALLEN_SERVICE, txnOps: 3, writeRps: 1000 };
   await service.whileDoing(storeTypes(many, service.cache, service.store, fallen));
   assert.deepEqual(service.state.oversized, []);
   assert.deepEqual(readTypes(service.cache), many);
-  assert.deepEqual(typeBatches(many, service.cache, fallen), []);
+  assert.deepEqual(machineTypeTransactions(many, service.cache, fallen), []);
   // A part that is missing makes the old record count again.
   await service.whileDoing(service.store.compareAndSwap([], [{ delete: 'live/types-part/1' }]));
   assert.deepEqual(readTypes(service.cache), few);
--- a/test/zone-constraints.test.ts
+++ b/test/zone-constraints.test.ts
@@ -45,13 +45,13 @@
     ...{ memoryGb: 1, types: null, zone: null, oneZone: false, spread: false, spot: true, image: 'img' },
     ...{ imageGb: 1, estimateS: 10, checkpointS: 0, saveS: 0, deadlineS: null },
   };
-  const busy = { type, spot: true, booting: false, ageMs: 90_000, idleMs: 0 };
+  const busy = { type, spot: true, isBooting: false, ageMs: 90_000, idleMs: 0 };
   const input: ScalingInput = {
     unplaced: [],
     // Zone a has more machines, so the next one would go to zone b; and one is coming up there.
     machines: [
       ...Array.from({ length: 6 }, (_, n) => ({ ...busy, id: `host-${n}`, zone: 'a' })),
-      { ...busy, id: 'host-9', zone: 'b', booting: true },
+      { ...busy, id: 'host-9', zone: 'b', isBooting: true },
     ],
     ...{ types: [type], isBackedOff: () => false, freeingCpus: 0, idleReleaseMs: 20_000 },
     ...{ mayAllStart: true, warmCpus: 0, freeCpus: 0 },
@@ -59,7 +59,7 @@
   const rented = (fields: Partial<Job>, count: number, zones: [string, number][]): unknown[] =>
     planScaling({
       ...input,
-      unplaced: [{ job: { ...array, ...fields }, count, urgent: true, slackMs: 0, zones: new Map(zones) }],
+      unplaced: [{ job: { ...array, ...fields }, count, isUrgent: true, slackMs: 0, zones: new Map(zones) }],
     }).scaleOut.map((r) => `${r.zone} ${r.count}`);
   assert.deepEqual(rented({}, 8, [['a', 8]]), ['b 1']);
   assert.deepEqual(rented({ oneZone: true }, 8, [['a', 8]]), ['a 2']);
