--- a/src/protocol/http-key-value-store.ts
+++ b/src/protocol/http-key-value-store.ts
@@ -198,9 +198,9 @@
 /** Checks the status of a response, and its body. */
 function parse<T>({ status, body }: HttpResponse, schema: z.ZodType<T>): T {
   if (status === STATUS_UNAVAILABLE || status === STATUS_TOO_MANY_REQUESTS) {
-    throw new StoreRejectedError(`state service: ${status}`);
+    throw new StoreRejectedError(`key-value store: ${status}`);
   }
-  if (status !== STATUS_OK) throw new NoResponseError(`state service: status ${status}`, true);
+  if (status !== STATUS_OK) throw new NoResponseError(`key-value store: status ${status}`, true);
   return check(body, schema);
 }
 
@@ -208,5 +208,5 @@
 function check<T>(body: unknown, schema: z.ZodType<T>): T {
   const parsed = schema.safeParse(body);
   if (parsed.success) return parsed.data;
-  throw new NoResponseError('state service: malformed answer', true, { cause: parsed.error });
+  throw new NoResponseError('key-value store: malformed answer', true, { cause: parsed.error });
 }
