--- a/test/formats/make-samples.ts
+++ b/test/formats/make-samples.ts
@@ -1,3 +1,4 @@
+/** @file Makes the samples of what production's controllers write, with the sources of the production version. */
 import { execFileSync } from 'node:child_process';
 import { cpSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -6,15 +7,61 @@
 const SAMPLES_FILE = 'test/data/production-formats.json';
 const FORMATS = 'test/formats';
 
+/** Replaces scenario-cluster.ts in the sources of the production version: the same in their names. */
+const SCENARIO_CLUSTER = `
+import { FakeStateService } from '../fakes/state-service';
+import { World } from '../fakes/world';
+
+Object.defineProperty(FakeStateService.prototype, 'revision', {
+  get() {
+    return this.ledger;
+  },
+});
+
+export class SimulatedCluster extends World {
+  get store() {
+    return this.state;
+  }
+  get runningTasks() {
+    return this.running;
+  }
+  get partitionedPairs() {
+    return this.apart;
+  }
+  set dropsPeerMessages(isLost) {
+    this.silencePeers = isLost;
+  }
+  machineOf(task) {
+    return this.where(task);
+  }
+  untilJobState(id, state) {
+    return this.untilStanding(id, state);
+  }
+  assertInvariants() {
+    this.noRuleBroken();
+  }
+}
+
+export const controllerOf = (process) => process.node;
+export const changeOf = (message) => (message?.kind === 'nudge' ? message.event : undefined);
+`;
+
 /** Runs the scenario with the sources of the production version, and keeps what its controllers wrote as test data. */
 function main(): void {
   extractProduction();
   const directory = join(PRODUCTION_DIRECTORY, FORMATS);
   cpSync(FORMATS, directory, { recursive: true });
+  writeFileSync(join(directory, 'scenario-cluster.ts'), SCENARIO_CLUSTER);
   const program = join(PRODUCTION_DIRECTORY, 'print-samples.js');
   execFileSync('npx', [
-    ...['esbuild', join(directory, 'print-samples.ts'), '--bundle', '--platform=node', '--target=node20'],
-    ...['--loader:.proto=text', '--log-level=warning', `--outfile=${program}`],
+    'esbuild',
+    join(directory, 'print-samples.ts'),
+    '--bundle',
+    '--platform=node',
+    '--target=node20',
+    '--loader:.proto=text',
+    '--log-level=warning',
+    `--outfile=${program}`,
   ]);
   const samples = execFileSync(process.execPath, [program], { maxBuffer: 64 * 1024 * 1024 });
   writeFileSync(SAMPLES_FILE, samples);
--- a/test/formats/print-samples.ts
+++ b/test/formats/print-samples.ts
@@ -1,3 +1,4 @@
+/** @file Prints samples of what controllers write; it is run with the sources of the production version. */
 import { Bitmap } from '../../src/bookkeeping/bitmap';
 import type { BitmapSample } from './samples';
 import { collectSamples } from './scenario';
--- a/test/formats/samples.ts
+++ b/test/formats/samples.ts
@@ -1,3 +1,4 @@
+/** @file Samples of records and peer messages, as they are kept in test/data. */
 /** A record as it lies in the state service. */
 export interface RecordSample {
   key: string;
--- a/test/formats/scenario.ts
+++ b/test/formats/scenario.ts
@@ -1,8 +1,7 @@
+/** @file A scenario in which controllers write every kind of record and peer message, and the samples of these. */
 import { isDeepStrictEqual } from 'node:util';
 import { readPeerMessage } from '../../src/protocol/peers';
-import type { Controller } from '../../src/coordination/controller';
-import type { ControllerProcess } from '../fakes/deployment';
-import { SimulatedCluster } from '../fakes/simulated-cluster';
+import { changeOf, controllerOf, SimulatedCluster } from './scenario-cluster';
 import { keyPattern, type PeerSample, type RecordSample, type Samples } from './samples';
 import { valueShape, wireShape } from './shape';
 
@@ -25,11 +24,6 @@
   }
 }
 
-/** The production version's deployment has the controller under its old name, `node`. */
-function controllerOf(process: ControllerProcess): Controller {
-  return 'node' in process ? (process.node as Controller) : process.controller;
-}
-
 /** Values by which records of the same fields still differ in kind. */
 function alternatives(value: unknown): string {
   const fields = Object.entries((value ?? {}) as Record<string, unknown>);
@@ -38,7 +32,7 @@
 
 /**
  * Drives a deployment through everything that makes controllers write a record or tell each other something, and
- * collects samples. It uses nothing but what the production version has as well: it is run on the sources of either.
+ * collects samples. It is run with the sources of either version: what differs between them is in scenario-cluster.ts.
  */
 class Collector {
   readonly #records = new Collection<RecordSample>();
@@ -79,10 +73,8 @@
 
   #collectPeerMessage(bytes: Uint8Array): void {
     const message = readPeerMessage(bytes);
-    const kind =
-      message?.kind === 'change notification'
-        ? `${keyPattern(message.event.key)} ${message.event.deleted}`
-        : message?.kind;
+    const change = changeOf(message);
+    const kind = change ? `${keyPattern(change.key)} ${change.deleted}` : message?.kind;
     const base64 = Buffer.from(bytes).toString('base64');
     this.#peerMessages.add([kind, ...wireShape(bytes)].join(' '), { base64, message });
   }
--- a/test/formats/shape.ts
+++ b/test/formats/shape.ts
@@ -1,3 +1,4 @@
+/** @file The fields of records and peer messages with their types. */
 import { Reader } from 'protobufjs';
 
 /** The fields of a JSON value with their types, as `path: type`; an array's elements are `path[]`. */
--- a/test/production/bundle.ts
+++ b/test/production/bundle.ts
@@ -1,3 +1,4 @@
+/** @file Bundles the controller of the production version, for tests with controllers of both versions. */
 import { execFileSync } from 'node:child_process';
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -17,8 +18,15 @@
   const entry = join(PRODUCTION_DIRECTORY, 'test/fakes/controller-parts.ts');
   writeFileSync(entry, PARTS);
   execFileSync('npx', [
-    ...['esbuild', entry, '--bundle', '--platform=node', '--target=node20', '--loader:.proto=text'],
-    ...['--sourcemap', '--log-level=warning', `--outfile=${join(PRODUCTION_DIRECTORY, 'controller.js')}`],
+    'esbuild',
+    entry,
+    '--bundle',
+    '--platform=node',
+    '--target=node20',
+    '--loader:.proto=text',
+    '--sourcemap',
+    '--log-level=warning',
+    `--outfile=${join(PRODUCTION_DIRECTORY, 'controller.js')}`,
   ]);
 }
 
--- a/test/production/extract.ts
+++ b/test/production/extract.ts
@@ -1,3 +1,4 @@
+/** @file Extracts the sources of the production version from the repository's history. */
 import { execFileSync } from 'node:child_process';
 import { existsSync, mkdirSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
