--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -1,7 +1,7 @@
 /** @file The cloud in memory: it offers one machine type, and rents, lists and releases machines. */
 import type { HttpResponse } from '../../src/transport/http-client';
 import type { Request } from './network';
-import type { MachineFacts } from './invariants';
+import type { MachineDescription } from './task-invariants';
 import type { FakeWorker } from './worker';
 
 /** The only machine type. */
@@ -13,7 +13,7 @@
 /** The machines that the cloud has rented out. */
 export interface Fleet {
   readonly workers: ReadonlyMap<string, FakeWorker>;
-  machineFacts(id: string): MachineFacts | undefined;
+  description(id: string): MachineDescription | undefined;
   addWorker(zone: string, isSpot: boolean): string;
 }
 
@@ -47,11 +47,21 @@
   #list(query: URLSearchParams): HttpResponse {
     const since = query.get('since') ?? '';
     const limit = Math.min(MAX_PAGE, Number(query.get('limit') ?? MAX_PAGE));
-    const listed = [...this.fleet.workers.values()].filter((w) => !w.isTerminated && w.id > since);
-    const hearths = listed.slice(0, limit).map((w) => ({
-      ...{ nameId: w.id, endpoint: w.address, ...this.fleet.machineFacts(w.id), standing: 'running' },
-      ageS: 30,
-    }));
+    const listed = [...this.fleet.workers.values()].filter(
+      (worker) => !worker.isTerminated && worker.id > since,
+    );
+    const hearths = listed.slice(0, limit).map((worker) => {
+      const machine = this.fleet.description(worker.id);
+      return {
+        nameId: worker.id,
+        endpoint: worker.address,
+        frame: machine?.type,
+        yard: machine?.zone,
+        loaners: machine?.isSpot,
+        standing: 'running',
+        ageS: 30,
+      };
+    });
     return { status: 200, body: { hearths, hasNext: listed.length > limit } };
   }
 
--- a/test/fakes/dependency-model.ts
+++ b/test/fakes/dependency-model.ts
@@ -1,13 +1,7 @@
-/** What the rules remember of a job, as far as dependencies care. */
-export interface ObservedJob {
-  submission: { pieces: number; awaits?: readonly string[] | null } | undefined;
-  completed: ReadonlySet<number>;
-  final: { standing: string } | undefined;
-  isCancelRequested: boolean;
-  cancelledAt: number | undefined;
-}
+/** @file Which jobs depend on which, as their users submitted them, and what follows for the invariants. */
+import type { ObservedJob } from './observed-jobs';
 
-/** What dependencies mean for the rules: which jobs need which, as their users submitted them. */
+/** The dependency graph of all jobs. */
 export class DependencyModel {
   readonly #dependents = new Map<string, string[]>();
 
@@ -47,7 +41,7 @@
       const job = this.jobs.get(of);
       if (!job?.isCancelRequested) return false;
       // A job that was done before its cancellation cancels nothing that needs it.
-      return of === id || job.final?.standing !== 'done';
+      return of === id || job.final?.state !== 'done';
     });
   }
 
@@ -59,7 +53,7 @@
 
   #isDone(id: string): boolean {
     const job = this.jobs.get(id);
-    if (!job?.submission || job.final?.standing === 'withdrawn') return false;
+    if (!job?.submission || job.final?.state === 'withdrawn') return false;
     return job.completed.size >= job.submission.pieces;
   }
 }
--- a/test/fakes/invariants-harness.ts
+++ b/test/fakes/invariants-harness.ts
@@ -1,12 +1,13 @@
+/** @file The invariants alone, for tests of the invariants themselves. */
 import assert from 'node:assert/strict';
 import { FakeClock } from './clock';
 import { Invariants } from './invariants';
 import { submission } from './submission';
 
 const MACHINES = new Map([
-  ['m1', { frame: 'm4', yard: 'a', loaners: true }],
-  ['m2', { frame: 'm4', yard: 'a', loaners: true }],
-  ['m3', { frame: 'm4', yard: 'b', loaners: false }],
+  ['m1', { type: 'm4', zone: 'a', isSpot: true }],
+  ['m2', { type: 'm4', zone: 'a', isSpot: true }],
+  ['m3', { type: 'm4', zone: 'b', isSpot: false }],
 ]);
 
 /** The rules alone, told by a test what users ask, what they are answered, and what happens on machines. */
--- a/test/fakes/simulated-cluster.ts
+++ b/test/fakes/simulated-cluster.ts
@@ -1,4 +1,4 @@
-/** @file A whole deployment in memory with its users and machines, watched by the rules of the protocol. */
+/** @file A whole deployment in memory with its users and machines, checked by the invariants of the protocol. */
 import assert from 'node:assert/strict';
 import type { HttpResponse } from '../../src/transport/http-client';
 import { FakeCloud, TYPE } from './cloud';
@@ -13,37 +13,38 @@
 } from './controller-settings';
 import { Deployment } from './deployment';
 import type { Request } from './network';
-import { Invariants, type MachineFacts } from './invariants';
+import { Invariants } from './invariants';
 import { submission } from './submission';
 import { StarvationDetector } from './starvation-detector';
-import { FakeWorker, type JobProfile } from './worker';
+import type { MachineDescription } from './task-invariants';
+import { FakeWorker, type JobProfile, type TaskObserver } from './worker';
 
 export { CANCEL_S };
 
-/** Whose answers count for the rules. */
+/** The sender whose answers the invariants check. */
 const USER = 'user';
 const ANSWER_MS = 75_000;
 
 const nothing = (): void => undefined;
 
-/** A whole deployment in memory: controllers, state service, cloud and workers, with the rules watched throughout. */
+/** A whole deployment in memory: controllers, state service, cloud and workers, with the invariants checked throughout. */
 export class SimulatedCluster extends Deployment {
   readonly invariants: Invariants;
   readonly cloud = new FakeCloud({
     workers: this.workers,
-    machineFacts: (id) => this.#machineFacts.get(id),
+    description: (id) => this.#machines.get(id),
     addWorker: (zone, isSpot) => this.addWorker(zone, isSpot),
   });
   bootMs = 3000;
-  readonly #jobFacts = new Map<string, JobProfile>();
+  readonly #jobProfiles = new Map<string, JobProfile>();
   /** How long tasks really run, where that is not what their user reckons. */
   readonly #runTimes = new Map<string, number>();
-  /** Told of every task that starts. */
-  onTaskStarted: (piece: string) => void = nothing;
-  /** Told of every task that completes. */
-  onTaskCompleted: (piece: string) => void = nothing;
-  readonly #machineFacts = new Map<string, MachineFacts>();
-  #machines = 0;
+  /** Called for every task that starts. */
+  onTaskStarted: (task: string) => void = nothing;
+  /** Called for every task that completes. */
+  onTaskCompleted: (task: string) => void = nothing;
+  readonly #machines = new Map<string, MachineDescription>();
+  #machineCount = 0;
 
   constructor(options: ClusterOptions = {}) {
     super(options);
@@ -54,7 +55,7 @@
         ['blue', Infinity],
       ]),
       types: [TYPE],
-      machine: (id) => this.#machineFacts.get(id),
+      machine: (id) => this.#machines.get(id),
     });
     this.network.watch((request) => {
       if (request.from !== USER) return nothing;
@@ -95,15 +96,17 @@
     if (method !== 'POST' || path !== '/work' || this.invariants.rejectionReason(body) !== undefined) return;
     const job = body as Record<'nameId', string> &
       Record<'stashS' | 'bookmarkS' | 'cpus' | 'reckonS', number>;
-    if (this.#jobFacts.has(job.nameId)) return;
+    if (this.#jobProfiles.has(job.nameId)) return;
     const { stashS, bookmarkS, cpus, reckonS } = job;
-    this.#jobFacts.set(job.nameId, {
-      ...{ saveS: stashS, checkpointS: bookmarkS, cpus },
+    this.#jobProfiles.set(job.nameId, {
+      saveS: stashS,
+      checkpointS: bookmarkS,
+      cpus,
       runS: this.#runTimes.get(job.nameId) ?? reckonS,
     });
   }
 
-  /** How long a job's tasks will run, to be told before it is submitted. */
+  /** Sets how long a job's tasks will run; to be called before it is submitted. */
   setRunTime(id: string, runS: number): void {
     this.#runTimes.set(id, runS);
   }
@@ -136,25 +139,25 @@
     return answer.status === 200 ? (answer.body as { standing: string }).standing : answer.status;
   }
 
-  async untilJobState(id: string, standing: string, limitS = 120, index = 0): Promise<void> {
+  async untilJobState(id: string, state: string, limitS = 120, index = 0): Promise<void> {
     const end = this.clock.now() + limitS * 1000;
     while (this.clock.now() < end) {
-      if ((await this.jobState(id, index)) === standing) return;
+      if ((await this.jobState(id, index)) === state) return;
       await this.clock.advance(500);
     }
-    assert.equal(await this.jobState(id, index), standing, `${id} after ${limitS} s`);
+    assert.equal(await this.jobState(id, index), state, `${id} after ${limitS} s`);
   }
 
-  /** Lets time pass until something is so. */
+  /** Lets time pass until a condition holds. */
   async until(what: string, is: () => boolean, limitS = 120): Promise<void> {
     const end = this.clock.now() + limitS * 1000;
     while (!is() && this.clock.now() < end) await this.clock.advance(50);
     assert.ok(is(), `${what}: not within ${limitS} s`);
   }
 
-  /** Where a task is at this moment. */
-  machineOf(piece: string): string | undefined {
-    return this.invariants.machineOf(piece);
+  /** The machine that runs a task at this moment. */
+  machineOf(task: string): string | undefined {
+    return this.invariants.machineOf(task);
   }
 
   get runningTasks(): string[] {
@@ -166,20 +169,20 @@
   }
 
   /**
-   * For when all troubles are over: lets time pass until every accepted job that wasn't cancelled is final, and fails
+   * For when all faults are over: lets time pass until every accepted job that wasn't cancelled is final, and fails
    * when one waits for 90 s while there is room for it, or gets no answer for 75 s.
    */
   async assertJobsFinish(limitS = 100): Promise<void> {
-    const waits = new StarvationDetector(this.invariants, this.clock, {
+    const detector = new StarvationDetector(this.invariants, this.clock, {
       hasRoom: (id) => this.#hasRoom(id),
-      isOnItsWay: (piece) =>
+      isStarting: (task) =>
         [...this.workers.values()].some(
-          (w) => !w.isTerminated && !w.isHanging && w.startingTasks.includes(piece),
+          (w) => !w.isTerminated && !w.isHanging && w.startingTasks.includes(task),
         ),
     });
     const startedAt = this.clock.now();
     for (let second = 0; second < limitS && this.invariants.unfinishedJobs.length > 0; second += 1) {
-      waits.check();
+      detector.check();
       for (const id of this.invariants.unfinishedJobs) {
         const silent = this.clock.now() - Math.max(startedAt, this.invariants.answeredAt(id));
         if (silent > ANSWER_MS) this.invariants.report('forgotten', `${id} got no answer for ${silent} ms`);
@@ -187,7 +190,7 @@
       }
       await this.clock.advance(1000);
     }
-    waits.check();
+    detector.check();
     this.assertInvariants();
   }
 
@@ -199,7 +202,7 @@
 
   /** Whether a machine that fits has room for the next task of a job. */
   #hasRoom(id: string): boolean {
-    const cpus = this.#jobFacts.get(id)?.cpus ?? 0;
+    const cpus = this.#jobProfiles.get(id)?.cpus ?? 0;
     return [...this.workers.values()].some(
       (w) =>
         w.isUp &&
@@ -210,36 +213,20 @@
     );
   }
 
-  /** A machine that comes up, whoever asked for it. */
-  addWorker(yard = 'a', loaners = true): string {
-    this.#machines += 1;
-    const id = `host-${String(this.#machines).padStart(6, '0')}`;
-    this.#machineFacts.set(id, { frame: TYPE.label, yard, loaners });
+  /** A machine that boots, whoever asked for it. */
+  addWorker(zone = 'a', isSpot = true): string {
+    this.#machineCount += 1;
+    const id = `host-${String(this.#machineCount).padStart(6, '0')}`;
+    const description = { type: TYPE.label, zone, isSpot };
+    this.#machines.set(id, description);
     const worker = new FakeWorker(
-      id,
-      `10.1.0.${this.#machines}:9000`,
-      { frame: 'm4', yard, loaners, cpus: 4 },
-      nodesOf(this.options),
-      { reportS: this.options.reportS ?? REPORT_S, leaseS: LEASE_S },
+      { ...description, id, address: `10.1.0.${this.#machineCount}:9000`, cpus: TYPE.cpus },
       {
-        clock: this.clock,
-        network: this.network,
-        ground: {
-          jobProfile: (job) => this.#jobFacts.get(job),
-          onTaskStarted: (piece, machine) => {
-            this.invariants.onTaskStarted(piece, machine);
-            this.onTaskStarted(piece);
-          },
-          onTaskLeft: (piece, machine) => {
-            this.invariants.onTaskLeft(piece, machine);
-          },
-          onTaskCompleted: (piece) => {
-            this.invariants.onTaskCompleted(piece);
-            this.onTaskCompleted(piece);
-          },
-          hasCompleted: (piece) => this.invariants.hasCompleted(piece),
-        },
+        controllers: nodesOf(this.options),
+        reportS: this.options.reportS ?? REPORT_S,
+        leaseS: LEASE_S,
       },
+      { clock: this.clock, network: this.network, tasks: this.#taskObserver() },
     );
     this.workers.set(id, worker);
     this.clock.after(this.bootMs, () => {
@@ -247,4 +234,22 @@
     });
     return id;
   }
+
+  #taskObserver(): TaskObserver {
+    return {
+      jobProfile: (job) => this.#jobProfiles.get(job),
+      onTaskStarted: (task, machine) => {
+        this.invariants.onTaskStarted(task, machine);
+        this.onTaskStarted(task);
+      },
+      onTaskLeft: (task, machine) => {
+        this.invariants.onTaskLeft(task, machine);
+      },
+      onTaskCompleted: (task) => {
+        this.invariants.onTaskCompleted(task);
+        this.onTaskCompleted(task);
+      },
+      hasCompleted: (task) => this.invariants.hasCompleted(task),
+    };
+  }
 }
--- a/test/fakes/starvation-detector.ts
+++ b/test/fakes/starvation-detector.ts
@@ -13,7 +13,7 @@
     private readonly invariants: Invariants,
     private readonly clock: TimerClock,
     /** Machines with room for this job's next task, and whether this task is on its way on one of them. */
-    private readonly cluster: { hasRoom(id: string): boolean; isOnItsWay(piece: string): boolean },
+    private readonly cluster: { hasRoom(id: string): boolean; isStarting(piece: string): boolean },
   ) {}
 
   /** To be called about once a second while there is no trouble. */
@@ -28,7 +28,7 @@
         (piece) =>
           !this.invariants.hasCompleted(piece) &&
           this.invariants.machineOf(piece) === undefined &&
-          !this.cluster.isOnItsWay(piece),
+          !this.cluster.isStarting(piece),
       );
       const fits = this.invariants.usedCpus(job.crew) + job.cpus <= this.invariants.cpuLimit(job.crew) + 1e-9;
       const isReady = this.invariants.isReady(id);
--- /dev/null
+++ b/test/fakes/task-execution.ts
@@ -0,0 +1,167 @@
+/** @file Runs attempts of tasks on a machine in memory, as commands say. */
+import type { MachineTime } from './machine-time';
+
+/** How long it takes to fetch what a task needs. */
+const FETCH_MS = 300;
+/** How long a task runs on a machine that fails every task. */
+const FAILED_RUN_MS = 500;
+
+/** An attempt, with its state in the words of the wire. */
+export interface Attempt {
+  readonly job: string;
+  readonly task: number;
+  readonly number: number;
+  state: 'fetching' | 'running' | 'flushing' | 'ended';
+  cause?: string;
+  stored?: boolean;
+}
+
+/** A command of the wire. */
+export interface Command {
+  verb: string;
+  piece: string;
+  try: number;
+  leewayS?: number;
+}
+
+/** What a worker knows of a job: how long its tasks run and save their work, and what they use. */
+export interface JobProfile {
+  runS: number;
+  saveS: number;
+  checkpointS: number;
+  cpus: number;
+}
+
+/** Knows the jobs of tasks, and is notified of what happens to tasks on machines. */
+export interface TaskObserver {
+  jobProfile(job: string): JobProfile | undefined;
+  onTaskStarted(task: string, machine: string): void;
+  onTaskLeft(task: string, machine: string): void;
+  onTaskCompleted(task: string): void;
+  hasCompleted(task: string): boolean;
+}
+
+const nameOf = ({ job, task }: Attempt): string => `${job}/${task}`;
+
+/** The attempts on one machine. */
+export class TaskExecution {
+  /** By task and number of the attempt. */
+  readonly attempts = new Map<string, Attempt>();
+  /** Every start command that was executed, by task and number of the attempt. */
+  readonly startCommands: string[] = [];
+  readonly reapCommands: string[] = [];
+  /** Fails every task that it starts. */
+  failsTasks = false;
+
+  constructor(
+    private readonly machine: { readonly id: string; readonly cpus: number },
+    private readonly time: MachineTime,
+    private readonly tasks: TaskObserver,
+  ) {}
+
+  /** Tasks that were commanded to start and are not running yet. */
+  get startingTasks(): string[] {
+    return [...this.attempts.values()].filter(({ state }) => state === 'fetching').map(nameOf);
+  }
+
+  /** CPUs that no task holds. */
+  get freeCpus(): number {
+    return [...this.attempts.values()]
+      .filter(({ state }) => state !== 'ended')
+      .reduce((free, { job }) => free - this.#cpusOf(job), this.machine.cpus);
+  }
+
+  execute(commands: readonly Command[]): void {
+    for (const command of commands) {
+      const key = `${command.piece}#${command.try}`;
+      const attempt = this.attempts.get(key);
+      if (command.verb === 'run') {
+        this.startCommands.push(key);
+        if (!attempt) this.#start(key, command);
+      } else if (command.verb === 'halt') {
+        if (attempt && attempt.state !== 'ended') this.#stop(attempt, command.leewayS ?? 0);
+      } else if (attempt?.state === 'ended') {
+        this.reapCommands.push(key);
+        this.attempts.delete(key);
+      }
+    }
+  }
+
+  /** Every attempt is gone at once. */
+  dropAll(): void {
+    for (const attempt of this.attempts.values()) this.#leave(attempt);
+    this.attempts.clear();
+  }
+
+  #cpusOf(job: string): number {
+    return this.tasks.jobProfile(job)?.cpus ?? 0;
+  }
+
+  #start(key: string, command: Command): void {
+    const [job = '', task] = command.piece.split('/');
+    const attempt: Attempt = { job, task: Number(task), number: command.try, state: 'fetching' };
+    this.attempts.set(key, attempt);
+    const profile = this.tasks.jobProfile(job);
+    const refusal = this.#startRefusal(attempt, profile);
+    if (refusal !== undefined) {
+      attempt.state = 'ended';
+      attempt.cause = refusal;
+    } else if (profile) {
+      this.time.after(FETCH_MS, () => {
+        this.#run(key, attempt, profile);
+      });
+    }
+  }
+
+  /** Why an attempt can't start here. */
+  #startRefusal(attempt: Attempt, profile: JobProfile | undefined): string | undefined {
+    if (!profile) return 'unknown';
+    const others = [...this.attempts.values()].filter(
+      (other) => other !== attempt && other.state !== 'ended',
+    );
+    if (others.some(({ job, task }) => job === attempt.job && task === attempt.task)) return 'in_use';
+    const used = others.reduce((sum, { job }) => sum + this.#cpusOf(job), 0);
+    return used + profile.cpus > this.machine.cpus ? 'full' : undefined;
+  }
+
+  #run(key: string, attempt: Attempt, profile: JobProfile): void {
+    if (this.attempts.get(key) !== attempt || attempt.state !== 'fetching') return;
+    attempt.state = 'running';
+    this.tasks.onTaskStarted(nameOf(attempt), this.machine.id);
+    // The result of a task that completed is kept.
+    const runMs = this.tasks.hasCompleted(nameOf(attempt)) ? 0 : profile.runS * 1000;
+    this.time.after(this.failsTasks ? FAILED_RUN_MS : runMs, () => {
+      if (this.attempts.get(key) === attempt && attempt.state === 'running') {
+        this.#end(attempt, this.failsTasks ? 'error' : 'done');
+      }
+    });
+  }
+
+  #stop(attempt: Attempt, graceS: number): void {
+    const profile = this.tasks.jobProfile(attempt.job);
+    const canSave = profile !== undefined && profile.checkpointS > 0 && graceS >= profile.saveS;
+    if (attempt.state === 'running' && canSave) {
+      attempt.state = 'flushing';
+      this.time.after(profile.saveS * 1000, () => {
+        if (attempt.state !== 'flushing') return;
+        this.#end(attempt, 'halted');
+        attempt.stored = true;
+      });
+    } else if (attempt.state !== 'flushing' || graceS === 0) {
+      this.#end(attempt, 'halted');
+    }
+  }
+
+  #end(attempt: Attempt, cause: string): void {
+    this.#leave(attempt);
+    attempt.state = 'ended';
+    attempt.cause = cause;
+    if (cause === 'done') this.tasks.onTaskCompleted(nameOf(attempt));
+  }
+
+  #leave(attempt: Attempt): void {
+    if (attempt.state === 'running' || attempt.state === 'flushing') {
+      this.tasks.onTaskLeft(nameOf(attempt), this.machine.id);
+    }
+  }
+}
--- a/test/fakes/worker.ts
+++ b/test/fakes/worker.ts
@@ -1,239 +1,242 @@
+/** @file A worker by its published protocol, in memory: it reports, heeds its lease and executes commands. */
 import { NoResponseError, type HttpResponse } from '../../src/transport/http-client';
 import type { TimerClock } from './clock';
-import type { Request, Network } from './network';
+import { MachineTime } from './machine-time';
+import type { Network, Request } from './network';
+import { TaskExecution, type Attempt, type Command, type TaskObserver } from './task-execution';
+import type { MachineDescription } from './task-invariants';
 
-interface Piece {
-  job: string;
-  task: number;
-  attempt: number;
-  standing: 'fetching' | 'running' | 'flushing' | 'ended';
-  cause?: string;
-  stored?: boolean;
-}
+export type { JobProfile, TaskObserver } from './task-execution';
 
-interface Orders {
+/** Commands with the owner's fencing token and the incarnation that they are for, in the words of the wire. */
+interface Commands {
   baton?: number;
   shift?: number;
-  orders: { verb: string; piece: string; try: number; leewayS?: number }[];
+  orders: Command[];
+}
+
+/** The machine that a worker runs on. */
+export interface WorkerMachine extends MachineDescription {
+  readonly id: string;
+  readonly address: string;
+  readonly cpus: number;
 }
 
-export interface JobProfile {
-  runS: number;
-  saveS: number;
-  checkpointS: number;
-  cpus: number;
+/** To whom a worker reports, how often, and how long its lease lasts. */
+export interface WorkerSettings {
+  readonly controllers: readonly { name: string; address: string }[];
+  readonly reportS: number;
+  readonly leaseS: number;
 }
 
-/** What the invariants watch. */
-export interface TaskObserver {
-  jobProfile(job: string): JobProfile | undefined;
-  onTaskStarted(piece: string, machine: string): void;
-  onTaskLeft(piece: string, machine: string): void;
-  onTaskCompleted(piece: string): void;
-  hasCompleted(piece: string): boolean;
+/** What surrounds a worker. */
+export interface WorkerEnvironment {
+  readonly clock: TimerClock;
+  readonly network: Network;
+  readonly tasks: TaskObserver;
 }
 
-const FETCH_MS = 300;
+const REPORT_TIMEOUT_MS = 4_000;
+/** Pauses before the next report: after no answer, after a redirection, and while the machine hangs. */
+const RETRY_MS = 1_000;
+const REDIRECT_MS = 100;
+const HANG_CHECK_MS = 100;
 
-/** A worker by its published protocol, in memory. */
+/** A worker on a machine in memory. */
 export class FakeWorker {
-  readonly attempts = new Map<string, Piece>();
-  /** Every start order that was executed, by piece and try. */
-  readonly startCommands: string[] = [];
-  readonly reapCommands: string[] = [];
   incarnation = 1;
   sequence = 0;
   fencingToken = 0;
   spotNoticeS: number | null = null;
-  /** Fails every task that it starts. */
-  failsTasks = false;
   isUp = false;
   isTerminated = false;
   /** What it answers to commands and questions instead of executing them. */
   malformedAnswer: (() => HttpResponse) | undefined;
-  #hanging = false;
-  #hungAt = 0;
-  /** How long it has stood still before the hang that lasts, if one does. */
-  #stoodMs = 0;
-  /** What goes on when it resumes, in order. */
-  #onResume: (() => void)[] = [];
+  readonly #time: MachineTime;
+  readonly #execution: TaskExecution;
+  /** When the last report that was answered was sent: its lease counts from then. */
   #answeredSentAt: number;
-  #node = 0;
+  #controller = 0;
 
   constructor(
-    readonly id: string,
-    readonly address: string,
-    private readonly machine: { frame: string; yard: string; loaners: boolean; cpus: number },
-    private readonly nodes: readonly { name: string; address: string }[],
-    private readonly timing: { reportS: number; leaseS: number },
-    private readonly deps: { clock: TimerClock; network: Network; ground: TaskObserver },
+    private readonly machine: WorkerMachine,
+    private readonly settings: WorkerSettings,
+    private readonly environment: WorkerEnvironment,
   ) {
-    this.#answeredSentAt = deps.clock.now();
+    this.#time = new MachineTime(environment.clock);
+    this.#execution = new TaskExecution(machine, this.#time, environment.tasks);
+    this.#answeredSentAt = environment.clock.now();
   }
 
-  start(): void {
-    this.isUp = true;
-    this.deps.network.attach(this.address, (request) => this.#handle(request));
-    void this.#run();
+  get id(): string {
+    return this.machine.id;
+  }
+
+  get address(): string {
+    return this.machine.address;
   }
 
   get zone(): string {
-    return this.machine.yard;
+    return this.machine.zone;
   }
 
-  get isHanging(): boolean {
-    return this.#hanging;
+  /** By task and number of the attempt. */
+  get attempts(): ReadonlyMap<string, Attempt> {
+    return this.#execution.attempts;
   }
 
-  /** A machine that hangs runs no tasks. When it goes on, its lease comes first, then the commands that have queued. */
-  set isHanging(hangs: boolean) {
-    if (hangs === this.#hanging) return;
-    const now = this.deps.clock.now();
-    if (hangs) {
-      this.#hungAt = now;
-      this.#hanging = true;
-      return;
-    }
-    this.#stoodMs += now - this.#hungAt;
-    this.#hanging = false;
-    if (this.isTerminated) return;
-    this.#checkLease();
-    const queued = this.#onResume;
-    this.#onResume = [];
-    for (const goOn of queued) goOn();
+  /** Every start command that was executed, by task and number of the attempt. */
+  get startCommands(): readonly string[] {
+    return this.#execution.startCommands;
   }
 
-  /** In the machine's own time, which doesn't pass while it hangs. */
-  #after(ms: number, fire: () => void): void {
-    const stood = this.#stoodMs;
-    this.deps.clock.after(ms, () => {
-      const goOn = (): void => {
-        const missed = this.#stoodMs - stood;
-        if (missed > 0) this.#after(missed, fire);
-        else fire();
-      };
-      if (this.#hanging) this.#onResume.push(goOn);
-      else goOn();
-    });
+  get reapCommands(): readonly string[] {
+    return this.#execution.reapCommands;
   }
 
-  /** Tasks that it has been told to start and that are not running yet. */
+  /** Tasks that were commanded to start and are not running yet. */
   get startingTasks(): string[] {
-    return [...this.attempts.values()]
-      .filter((p) => p.standing === 'fetching')
-      .map((p) => `${p.job}/${p.task}`);
+    return this.#execution.startingTasks;
   }
 
   /** CPUs that no task holds. */
   get freeCpus(): number {
-    return [...this.attempts.values()]
-      .filter((p) => p.standing !== 'ended')
-      .reduce((free, p) => free - (this.deps.ground.jobProfile(p.job)?.cpus ?? 0), this.machine.cpus);
+    return this.#execution.freeCpus;
+  }
+
+  /** Whether it fails every task that it starts. */
+  get failsTasks(): boolean {
+    return this.#execution.failsTasks;
+  }
+
+  set failsTasks(fails: boolean) {
+    this.#execution.failsTasks = fails;
+  }
+
+  get isHanging(): boolean {
+    return this.#time.isHanging;
+  }
+
+  /** A machine that hangs runs no tasks. When it resumes, its lease comes first, then the commands that have queued. */
+  set isHanging(hangs: boolean) {
+    if (hangs === this.#time.isHanging) return;
+    if (hangs) {
+      this.#time.hang();
+      return;
+    }
+    this.#time.resume();
+    if (this.isTerminated) return;
+    this.#checkLease();
+    this.#time.runQueued();
+  }
+
+  start(): void {
+    this.isUp = true;
+    this.environment.network.attach(this.address, (request) => this.#handle(request));
+    void this.#run();
   }
 
   /** The cloud takes the machine away. */
   terminate(): void {
     this.isTerminated = true;
     this.isUp = false;
-    this.#onResume = [];
-    this.deps.network.detach(this.address);
-    this.#dropAll();
+    this.#time.clear();
+    this.environment.network.detach(this.address);
+    this.#execution.dropAll();
   }
 
+  /** The next report, in the words of the wire. */
   report(): Record<string, unknown> {
     this.sequence += 1;
     return {
-      ...{ hearth: this.id, endpoint: this.address, frame: this.machine.frame, yard: this.machine.yard },
-      ...{
-        loaners: this.machine.loaners,
-        shift: this.incarnation,
-        tally: this.sequence,
-        baton: this.fencingToken,
-      },
+      hearth: this.id,
+      endpoint: this.address,
+      frame: this.machine.type,
+      yard: this.machine.zone,
+      loaners: this.machine.isSpot,
+      shift: this.incarnation,
+      tally: this.sequence,
+      baton: this.fencingToken,
       warningS: this.spotNoticeS,
-      pieces: [...this.attempts.values()].map((p) => ({
-        piece: `${p.job}/${p.task}`,
-        try: p.attempt,
-        standing: p.standing,
-        ...(p.cause === undefined ? {} : { cause: p.cause }),
-        ...(p.stored === undefined ? {} : { stored: p.stored }),
+      pieces: [...this.attempts.values()].map(({ job, task, number, state, cause, stored }) => ({
+        piece: `${job}/${task}`,
+        try: number,
+        standing: state,
+        ...(cause === undefined ? {} : { cause }),
+        ...(stored === undefined ? {} : { stored }),
       })),
     };
   }
 
   async #run(): Promise<void> {
-    const { clock, network } = this.deps;
+    const { clock } = this.environment;
     while (!this.isTerminated) {
       this.#checkLease();
       if (this.isHanging) {
-        await clock.sleep(100);
+        await clock.sleep(HANG_CHECK_MS);
         continue;
       }
-      const node = this.nodes[this.#node % this.nodes.length];
-      if (!node) return;
-      const sentAt = clock.now();
-      const { incarnation } = this;
-      let pauseMs = 1000;
-      try {
-        const answer = await network
-          .caller(this.id)
-          .call(node.address, 'POST', '/hello', this.report(), 4000);
-        // What came during a hang is read when it goes on; a response that is too old by then is dropped.
-        if (this.#hanging) await new Promise<void>((goOn) => this.#onResume.push(goOn));
-        if (clock.now() - sentAt > 4000) throw new NoResponseError('time is up', true);
-        if (answer.status === 200) {
-          const body = answer.body as Orders;
-          if (
-            body.baton !== undefined &&
-            body.baton >= this.fencingToken &&
-            this.incarnation === incarnation
-          ) {
-            this.fencingToken = body.baton;
-            this.#answeredSentAt = sentAt;
-            this.#execute(body.orders);
-          }
-          pauseMs = this.timing.reportS * 1000;
-        } else {
-          const foreman = (answer.body as { foreman?: string } | null)?.foreman;
-          const named = this.nodes.findIndex((n) => n.name === foreman);
-          if (answer.status === 421 && named >= 0 && named !== this.#node % this.nodes.length) {
-            this.#node = named;
-            pauseMs = 100;
-          } else {
-            this.#node += 1;
-          }
-        }
-      } catch (error) {
-        if (!(error instanceof NoResponseError)) throw error;
-        this.#node += 1;
-      }
-      await clock.sleep(pauseMs);
+      const controller = this.settings.controllers[this.#controller % this.settings.controllers.length];
+      if (!controller) return;
+      await clock.sleep(await this.#reportTo(controller.address));
     }
   }
 
-  #checkLease(): void {
-    if (this.deps.clock.now() - this.#answeredSentAt <= this.timing.leaseS * 1000) return;
-    this.#dropAll();
-    this.incarnation += 1;
-    this.#answeredSentAt = this.deps.clock.now();
+  /** Reports once; how long to wait until the next report. */
+  async #reportTo(address: string): Promise<number> {
+    const { clock, network } = this.environment;
+    const sentAt = clock.now();
+    const { incarnation } = this;
+    try {
+      const answer = await network
+        .caller(this.id)
+        .call(address, 'POST', '/hello', this.report(), REPORT_TIMEOUT_MS);
+      // What came during a hang is read when it resumes; a response that is too old by then is dropped.
+      if (this.isHanging) await new Promise<void>((goOn) => this.#time.onResume(goOn));
+      if (clock.now() - sentAt > REPORT_TIMEOUT_MS) throw new NoResponseError('time is up', true);
+      if (answer.status !== 200) return this.#chooseController(answer);
+      this.#onAnswer(answer.body as Commands, sentAt, incarnation);
+      return this.settings.reportS * 1000;
+    } catch (error) {
+      if (!(error instanceof NoResponseError)) throw error;
+      this.#controller += 1;
+      return RETRY_MS;
+    }
   }
 
-  #dropAll(): void {
-    for (const piece of this.attempts.values()) this.#leave(piece);
-    this.attempts.clear();
+  #onAnswer({ baton, orders }: Commands, sentAt: number, incarnation: number): void {
+    if (baton === undefined || baton < this.fencingToken || this.incarnation !== incarnation) return;
+    this.fencingToken = baton;
+    this.#answeredSentAt = sentAt;
+    this.#execution.execute(orders);
+  }
+
+  /** Goes to the controller that a refusal names, or else to the next; how long to wait before that. */
+  #chooseController({ status, body }: HttpResponse): number {
+    const { controllers } = this.settings;
+    const foreman = (body as { foreman?: string } | null)?.foreman;
+    const named = controllers.findIndex(({ name }) => name === foreman);
+    if (status === 421 && named >= 0 && named !== this.#controller % controllers.length) {
+      this.#controller = named;
+      return REDIRECT_MS;
+    }
+    this.#controller += 1;
+    return RETRY_MS;
   }
 
-  #leave(piece: Piece): void {
-    if (piece.standing === 'running' || piece.standing === 'flushing') {
-      this.deps.ground.onTaskLeft(`${piece.job}/${piece.task}`, this.id);
-    }
+  #checkLease(): void {
+    const { clock } = this.environment;
+    if (clock.now() - this.#answeredSentAt <= this.settings.leaseS * 1000) return;
+    this.#execution.dropAll();
+    this.incarnation += 1;
+    this.#answeredSentAt = clock.now();
   }
 
   #handle(request: Request): HttpResponse | Promise<HttpResponse> {
     if (this.malformedAnswer) return this.malformedAnswer();
-    if (!this.#hanging) return this.#answer(request);
+    if (!this.isHanging) return this.#answer(request);
     return new Promise((resolve) => {
-      this.#onResume.push(() => {
+      this.#time.onResume(() => {
         resolve(this.#answer(request));
       });
     });
@@ -242,81 +245,11 @@
   #answer({ path, body }: Request): HttpResponse {
     this.#checkLease();
     if (path === '/inspect') return { status: 200, body: this.report() };
-    const { baton, shift, orders } = body as Orders;
+    const { baton, shift, orders } = body as Commands;
     if (baton === undefined || shift === undefined) return { status: 400, body: null };
     if (baton < this.fencingToken || shift !== this.incarnation) return { status: 409, body: this.report() };
     this.fencingToken = baton;
-    this.#execute(orders);
+    this.#execution.execute(orders);
     return { status: 200, body: this.report() };
   }
-
-  #execute(orders: Orders['orders']): void {
-    for (const order of orders) {
-      const key = `${order.piece}#${order.try}`;
-      const piece = this.attempts.get(key);
-      if (order.verb === 'run') {
-        this.startCommands.push(key);
-        if (!piece) this.#begin(key, order);
-      } else if (order.verb === 'halt') {
-        if (piece && piece.standing !== 'ended') this.#halt(piece, order.leewayS ?? 0);
-      } else if (piece?.standing === 'ended') {
-        this.reapCommands.push(key);
-        this.attempts.delete(key);
-      }
-    }
-  }
-
-  #begin(key: string, order: { piece: string; try: number }): void {
-    const [job = '', task] = order.piece.split('/');
-    const facts = this.deps.ground.jobProfile(job);
-    const piece: Piece = { job, task: Number(task), attempt: order.try, standing: 'fetching' };
-    this.attempts.set(key, piece);
-    const others = [...this.attempts.values()].filter((p) => p !== piece && p.standing !== 'ended');
-    const used = others.reduce((sum, p) => sum + (this.deps.ground.jobProfile(p.job)?.cpus ?? 0), 0);
-    if (!facts) Object.assign(piece, { standing: 'ended', cause: 'unknown' });
-    else if (others.some((p) => p.job === job && p.task === piece.task)) {
-      Object.assign(piece, { standing: 'ended', cause: 'in_use' });
-    } else if (used + facts.cpus > this.machine.cpus) {
-      Object.assign(piece, { standing: 'ended', cause: 'full' });
-    } else {
-      this.#after(FETCH_MS, () => {
-        this.#ran(key, piece, facts);
-      });
-    }
-  }
-
-  #ran(key: string, piece: Piece, facts: JobProfile): void {
-    if (this.attempts.get(key) !== piece || piece.standing !== 'fetching') return;
-    piece.standing = 'running';
-    this.deps.ground.onTaskStarted(`${piece.job}/${piece.task}`, this.id);
-    // The result of a task that completed is kept.
-    const runMs = this.deps.ground.hasCompleted(`${piece.job}/${piece.task}`) ? 0 : facts.runS * 1000;
-    this.#after(this.failsTasks ? 500 : runMs, () => {
-      if (this.attempts.get(key) === piece && piece.standing === 'running') {
-        this.#end(piece, this.failsTasks ? 'error' : 'done');
-      }
-    });
-  }
-
-  #halt(piece: Piece, leewayS: number): void {
-    const facts = this.deps.ground.jobProfile(piece.job);
-    if (piece.standing === 'running' && facts && facts.checkpointS > 0 && leewayS >= facts.saveS) {
-      piece.standing = 'flushing';
-      this.#after(facts.saveS * 1000, () => {
-        if (piece.standing === 'flushing') {
-          this.#end(piece, 'halted');
-          piece.stored = true;
-        }
-      });
-    } else if (piece.standing !== 'flushing' || leewayS === 0) {
-      this.#end(piece, 'halted');
-    }
-  }
-
-  #end(piece: Piece, cause: string): void {
-    this.#leave(piece);
-    piece.standing = 'ended';
-    piece.cause = cause;
-    if (cause === 'done') this.deps.ground.onTaskCompleted(`${piece.job}/${piece.task}`);
-  }
 }
--- a/test/invariants.test.ts
+++ b/test/invariants.test.ts
@@ -185,7 +185,7 @@
     watched.submit();
     const waits = new StarvationDetector(watched.invariants, watched.clock, {
       hasRoom: () => hasRoom,
-      isOnItsWay: () => false,
+      isStarting: () => false,
     });
     for (let second = 0; second < 92; second += 1) {
       waits.check();
--- a/test/load/stand-ins.ts
+++ b/test/load/stand-ins.ts
@@ -128,12 +128,13 @@
     const id = `host-${String(this.#names).padStart(6, '0')}`;
     const address = `127.${16 + (this.#names >> 14)}.${(this.#names >> 7) & 127}.${(this.#names & 127) + 1}:9000`;
     const worker = new FakeWorker(
-      ...([id, address, { frame: 'm16', yard, loaners, cpus: CPUS }, this.nodes, this.timing] as const),
+      { id, address, type: 'm16', zone: yard, isSpot: loaners, cpus: CPUS },
+      { controllers: this.nodes, ...this.timing },
       {
         clock: realClock,
         network: this.network,
-        // The rules are watched by the scenario tests.
-        ground: {
+        // The invariants are checked by the scenario tests.
+        tasks: {
           jobProfile: this.facts,
           onTaskStarted: () => undefined,
           onTaskLeft: () => undefined,
