--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -156,6 +156,12 @@
     plugins: { jsdoc },
     rules: { ...sizeRules, ...docRules },
   },
+  {
+    files: ['test/**/*.ts'],
+    ignores: ['test/**/*.test.ts'],
+    plugins: { jsdoc },
+    rules: { 'jsdoc/require-file-overview': docRules['jsdoc/require-file-overview'] },
+  },
   ...Object.entries(notYet).map(([rule, files]) => ({ files, rules: { [rule]: 'off' } })),
   ...layers.map((layer, depth) => ({
     files: [`src/${layer}/**/*.ts`],
--- a/test/admission-decisions.test.ts
+++ b/test/admission-decisions.test.ts
@@ -11,26 +11,35 @@
 
 const EQUAL = { classes: {}, teams: {} };
 const OPTIONS: AdmissionOptions = {
-  ...{ enterS: 100, leaveS: 50, stalledS: 20, epochS: 5, isTraced: false },
+  enterS: 100,
+  leaveS: 50,
+  stalledS: 20,
+  epochS: 5,
+  isTraced: false,
   weights: EQUAL,
 };
 const CAPACITY = 100;
 
 const jobOf = (id: string, jobClass: string, team: string, tasks = 1, estimateS = 10): Job => ({
-  ...{
-    id,
-    jobClass,
-    team,
-    tasks,
-    cpus: 1,
-    gpus: 0,
-    memoryGb: 1,
-    priority: 'normal',
-    types: null,
-    zone: null,
-  },
-  ...{ oneZone: false, spread: false, spot: true, image: 'img', imageGb: 1, estimateS, checkpointS: 0 },
-  ...{ saveS: 0, deadlineS: null },
+  id,
+  jobClass,
+  team,
+  tasks,
+  cpus: 1,
+  gpus: 0,
+  memoryGb: 1,
+  priority: 'normal',
+  types: null,
+  zone: null,
+  oneZone: false,
+  spread: false,
+  spot: true,
+  image: 'img',
+  imageGb: 1,
+  estimateS,
+  checkpointS: 0,
+  saveS: 0,
+  deadlineS: null,
 });
 
 const flow = (jobClass: string, team: string, backlog: number, admitted = 0): FlowFacts => {
--- a/test/admission-failures.test.ts
+++ b/test/admission-failures.test.ts
@@ -172,7 +172,10 @@
   assert.deepEqual(epochOf(cluster)?.weights, weights);
   const put = (data: unknown): Promise<unknown> =>
     cluster.store.handle({
-      ...{ from: 'seed', to: '', method: 'POST', path: '/txn' },
+      from: 'seed',
+      to: '',
+      method: 'POST',
+      path: '/txn',
       body: {
         guards: [],
         apply: [data === undefined ? { delete: KEY.admission } : { set: KEY.admission, data }],
@@ -231,11 +234,9 @@
 
 test('no epoch is written while a controller of the production version takes part', async () => {
   const cluster = new SimulatedCluster({
-    ...{
-      operators: [{ admission: ADMISSION }, { admission: ADMISSION }, {}],
-      objectives: OBJECTIVES,
-      reportS: 3,
-    },
+    operators: [{ admission: ADMISSION }, { admission: ADMISSION }, {}],
+    objectives: OBJECTIVES,
+    reportS: 3,
     versions: ['present', 'present', 'production'],
   });
   cluster.capacity = MACHINES;
--- a/test/cancellation-bound.test.ts
+++ b/test/cancellation-bound.test.ts
@@ -157,11 +157,9 @@
   const lease = { key: 'live/lease/0', value: { owner: 'node-1', token: 7 }, version: 1 };
   for (const ownLease of [true, false]) {
     const context = {
-      ...{
-        controllerId: 'node-0',
-        clock: cluster.clock,
-        settings: cluster.controllers[0]?.controller.settings,
-      },
+      controllerId: 'node-0',
+      clock: cluster.clock,
+      settings: cluster.controllers[0]?.controller.settings,
       cache: {
         loaded: true,
         get: (key: string) => (key === lease.key || key === 'live/job/req-1' ? lease : undefined),
@@ -182,7 +180,10 @@
 
 function platform(lease_s: number, cancel_s: number): unknown {
   return {
-    ...{ node: 'node-0', area: 'a', bind: '10.0.0.1:8080', back: '10.0.0.1:8081' },
+    node: 'node-0',
+    area: 'a',
+    bind: '10.0.0.1:8080',
+    back: '10.0.0.1:8081',
     external: { cloud: '10.2.0.2:8443', state: '10.2.0.1:2379' },
     deployment: {
       teams: [{ name: 'red' }],
--- a/test/decision-inputs.ts
+++ b/test/decision-inputs.ts
@@ -4,27 +4,40 @@
 
 /** A machine type. */
 export const type: MachineType = {
-  ...{ name: 'm4', cpus: 4, gpus: 0, memoryGb: 16, cacheGb: 50, fetchGbPerS: 1 },
-  ...{ price: 1, spotPrice: 0.3, bootS: 10, zones: ['a', 'b'] },
+  name: 'm4',
+  cpus: 4,
+  gpus: 0,
+  memoryGb: 16,
+  cacheGb: 50,
+  fetchGbPerS: 1,
+  price: 1,
+  spotPrice: 0.3,
+  bootS: 10,
+  zones: ['a', 'b'],
 };
 
 /** A job of four tasks that need one CPU each; the fields given replace the usual ones. */
 export function job(id: string, team: string, priority: Priority, fields: Partial<Job> = {}): Job {
   return {
-    ...{
-      id,
-      jobClass: 'batch',
-      team,
-      priority,
-      tasks: 4,
-      cpus: 1,
-      gpus: 0,
-      memoryGb: 1,
-      types: null,
-      zone: null,
-    },
-    ...{ oneZone: false, spread: false, spot: true, image: 'img', imageGb: 1, estimateS: 10, checkpointS: 0 },
-    ...{ saveS: 0, deadlineS: null },
+    id,
+    jobClass: 'batch',
+    team,
+    priority,
+    tasks: 4,
+    cpus: 1,
+    gpus: 0,
+    memoryGb: 1,
+    types: null,
+    zone: null,
+    oneZone: false,
+    spread: false,
+    spot: true,
+    image: 'img',
+    imageGb: 1,
+    estimateS: 10,
+    checkpointS: 0,
+    saveS: 0,
+    deadlineS: null,
     ...fields,
   };
 }
@@ -32,32 +45,33 @@
 /** A job all of whose tasks wait. */
 export function waiting(j: Job, slackMs = 0, work = 1): WaitingJob {
   return {
-    ...{
-      job: j,
-      waitingTasks: j.tasks,
-      zones: new Map(),
-      slackMs,
-      remainingCpuS: work,
-      machinesToAvoid: new Set(),
-      runS: 10,
-    },
-    ...{ isBoosted: false, hasStarted: false, submittedAt: 0 },
+    job: j,
+    waitingTasks: j.tasks,
+    zones: new Map(),
+    slackMs,
+    remainingCpuS: work,
+    machinesToAvoid: new Set(),
+    runS: 10,
+    isBoosted: false,
+    hasStarted: false,
+    submittedAt: 0,
   };
 }
 
 /** The limits of a team with a guarantee of so many CPUs. */
 export const limits = (cpus: number): { cpus: number; cpus_max: number; gpus: number; gpus_max: number } => ({
-  ...{ cpus, cpus_max: 0, gpus: 0, gpus_max: 0 },
+  cpus,
+  cpus_max: 0,
+  gpus: 0,
+  gpus_max: 0,
 });
 /** A machine with so many free CPUs. */
 export const roomy = (id: string, cpus: number) => ({
-  ...{
-    id,
-    type,
-    zone: 'a',
-    spot: true,
-    free: { cpus, gpus: 0, memoryGb: 16 },
-    cachedImages: new Map(),
-    busyForS: 0,
-  },
+  id,
+  type,
+  zone: 'a',
+  spot: true,
+  free: { cpus, gpus: 0, memoryGb: 16 },
+  cachedImages: new Map(),
+  busyForS: 0,
 });
--- a/test/dependency-steps.ts
+++ b/test/dependency-steps.ts
@@ -1,3 +1,4 @@
+/** @file Steps that tests of dependencies between jobs share. */
 import assert from 'node:assert/strict';
 import { submission } from './fakes/submission';
 import { CANCEL_S, SimulatedCluster } from './fakes/simulated-cluster';
--- a/test/fakes.test.ts
+++ b/test/fakes.test.ts
@@ -8,7 +8,8 @@
   await cluster.until('it runs', () => cluster.machineOf('req-1/0') !== undefined);
   const worker = cluster.worker(cluster.machineOf('req-1/0') ?? '');
   const orders = (piece: string): Record<string, unknown> => ({
-    ...{ baton: worker.fencingToken, shift: worker.incarnation },
+    baton: worker.fencingToken,
+    shift: worker.incarnation,
     orders: [{ verb: 'run', piece, try: 7 }],
   });
   const post = (body: unknown): void => {
--- a/test/fakes/key-value-store.ts
+++ b/test/fakes/key-value-store.ts
@@ -1,3 +1,4 @@
+/** @file The key-value store by its published protocol, in memory, with faults and limits. */
 import type { HttpResponse } from '../../src/transport/http-client';
 import type { TimerClock } from './clock';
 import type { Request } from './network';
--- a/test/fakes/network.ts
+++ b/test/fakes/network.ts
@@ -1,3 +1,4 @@
+/** @file The network in memory, with the faults of a real one. */
 import { NoResponseError, type HttpResponse, type HttpCaller } from '../../src/transport/http-client';
 import type { FakeClock } from './clock';
 
--- a/test/fakes/patient-users.ts
+++ b/test/fakes/patient-users.ts
@@ -52,8 +52,14 @@
     this.#next += 1;
     const id = `req-${String(this.#next).padStart(6, '0')}`;
     const outcome: Outcome = {
-      ...{ id, jobClass, team, cost: tasks * estimateS, submittedAt: this.cluster.clock.now() },
-      ...{ acceptedAt: undefined, deferrals: 0, isOver: false },
+      id,
+      jobClass,
+      team,
+      cost: tasks * estimateS,
+      submittedAt: this.cluster.clock.now(),
+      acceptedAt: undefined,
+      deferrals: 0,
+      isOver: false,
     };
     this.outcomes.push(outcome);
     this.cluster.setRunTime(id, runS);
--- a/test/fakes/versions.ts
+++ b/test/fakes/versions.ts
@@ -1,3 +1,4 @@
+/** @file Controllers of the present and of the production version. */
 import { existsSync } from 'node:fs';
 import { createRequire } from 'node:module';
 import { resolve } from 'node:path';
--- a/test/fixed-limits.test.ts
+++ b/test/fixed-limits.test.ts
@@ -129,7 +129,9 @@
   };
   const share = 64;
   const { server, connections } = createNodeServer([route('/hello', 'workers'), route('/up', 'health')], {
-    ...{ maxBodyBytes: 1024, now: () => performance.now(), onError: assert.fail },
+    maxBodyBytes: 1024,
+    now: () => performance.now(),
+    onError: assert.fail,
     connections: { all: 128, workers: share, workerIdleMs: 60_000 },
     encode: (value) => codec.encode(value),
   });
--- a/test/formats/scenario.ts
+++ b/test/formats/scenario.ts
@@ -85,8 +85,17 @@
   const cluster = collector.cluster();
   await cluster.submit('req-1', { pieces: 30, reckonS: 4 }, 4);
   await cluster.submit('req-2', {
-    ...{ pieces: 2, urgency: 'prod', frames: ['m4'], yard: 'a', together: true, loaners: false },
-    ...{ bookmarkS: 2, stashS: 1, dueS: 400, cpus: 0.5, sizeGb: 1.5 },
+    pieces: 2,
+    urgency: 'prod',
+    frames: ['m4'],
+    yard: 'a',
+    together: true,
+    loaners: false,
+    bookmarkS: 2,
+    stashS: 1,
+    dueS: 400,
+    cpus: 0.5,
+    sizeGb: 1.5,
   });
   await cluster.submit('req-4', { pieces: 60, cpus: 2 }, 3);
   await cluster.submit('req-3', { pieces: 40, crew: 'red', apart: true, urgency: 'best_effort' }, 9);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -20,8 +20,13 @@
     const apply = ids.slice(from, from + RECORDS_AT_ONCE).map((id) => ({
       set: KEY.machine(id),
       data: {
-        ...{ shard: 0, address: cluster.worker(id).address, type: 'm4', zone: 'a', spot: true },
-        ...{ up: true, rentedAt: cluster.clock.date().getTime() },
+        shard: 0,
+        address: cluster.worker(id).address,
+        type: 'm4',
+        zone: 'a',
+        spot: true,
+        up: true,
+        rentedAt: cluster.clock.date().getTime(),
       },
     }));
     const body = { guards: [], apply };
--- a/test/leader-changes.test.ts
+++ b/test/leader-changes.test.ts
@@ -137,8 +137,14 @@
     await cluster.submit(
       `req-${n}`,
       {
-        ...{ pieces: 3, urgency: urgencies[n % 4], crew: n % 2 ? 'red' : 'blue', reckonS: 8, ...saves },
-        ...{ cpus: n % 5 === 0 ? 2 : 1, together: n % 7 === 0, apart: n % 7 === 1 },
+        pieces: 3,
+        urgency: urgencies[n % 4],
+        crew: n % 2 ? 'red' : 'blue',
+        reckonS: 8,
+        ...saves,
+        cpus: n % 5 === 0 ? 2 : 1,
+        together: n % 7 === 0,
+        apart: n % 7 === 1,
       },
       8,
       alive(n),
--- a/test/load/admission.ts
+++ b/test/load/admission.ts
@@ -37,9 +37,16 @@
 }
 
 const processes = new ControllerProcesses({
-  ...{ out: args.out, bundle: args.bundle, controllers: 3, isProfiled: false },
+  out: args.out,
+  bundle: args.bundle,
+  controllers: 3,
+  isProfiled: false,
   flags: ['--max-old-space-size=64', '--max-semi-space-size=4', '--single-threaded'],
-  ...{ reportS: '0.8', writeRps: '200', cloudRps: '10', sockets: '2500', classes: CLASSES },
+  reportS: '0.8',
+  writeRps: '200',
+  cloudRps: '10',
+  sockets: '2500',
+  classes: CLASSES,
   ...(args.off ? {} : { operatorToml: ADMISSION }),
 });
 const network = new Loopback();
@@ -142,7 +149,8 @@
   submissions: counts.submissions - countsBefore.submissions,
   deferred: counts.deferred - countsBefore.deferred,
   otherRefusals: counts.otherRefusals - countsBefore.otherRefusals,
-  ...{ compared: counts.compared, differed: counts.differed },
+  compared: counts.compared,
+  differed: counts.differed,
   revisions: state.revision - writesBefore,
 });
 process.exit(0);
--- a/test/load/main.ts
+++ b/test/load/main.ts
@@ -1,3 +1,4 @@
+/** @file A load on controllers as real processes: jobs arrive at a steady rate, and processor time is profiled. */
 import { readdirSync, readFileSync } from 'node:fs';
 import { performance } from 'node:perf_hooks';
 import { parseArgs } from 'node:util';
--- a/test/load/profile.ts
+++ b/test/load/profile.ts
@@ -1,3 +1,4 @@
+/** @file The shares of modules and functions in a process's processor time, from its profile. */
 import { readFileSync } from 'node:fs';
 
 interface Frame {
--- a/test/load/stand-ins.ts
+++ b/test/load/stand-ins.ts
@@ -100,7 +100,12 @@
     const since = new URL(path, 'http://cloud').searchParams.get('since') ?? '';
     const rest = [...this.machines].filter(([id]) => id > since);
     const hearths = rest.slice(0, 500).map(([nameId, { worker, yard, loaners, at }]) => ({
-      ...{ nameId, endpoint: worker.address, frame: 'm16', yard, loaners, standing: 'running' },
+      nameId,
+      endpoint: worker.address,
+      frame: 'm16',
+      yard,
+      loaners,
+      standing: 'running',
       ageS: (realClock.now() - at) / 1000,
     }));
     return { status: 200, body: { hearths, hasNext: rest.length > 500 } };
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -20,7 +20,9 @@
   const ask = (priority: Priority): string[] =>
     choosePreemptions({
       unplaced: [{ waiting: waiting(job('owed', 'red', priority)), count: 1 }],
-      ...{ machines: [machine], quotas: teams, usage: use },
+      machines: [machine],
+      quotas: teams,
+      usage: use,
     }).victims.map(({ key }) => key);
   assert.deepEqual(ask('normal'), []);
   assert.equal(ask('high').length, 1);
--- a/test/scaling-plan.test.ts
+++ b/test/scaling-plan.test.ts
@@ -8,12 +8,19 @@
 
 test('one unreachable machine is given up; a whole unreachable zone is taken for a partition', () => {
   const fleet = Array.from({ length: 10 }, (_, n) => ({
-    ...{ id: `m${n}`, zone: n < 5 ? 'a' : 'b', lastHeartbeatAt: 100_000, isBusy: true, blocksShard: false },
+    id: `m${n}`,
+    zone: n < 5 ? 'a' : 'b',
+    lastHeartbeatAt: 100_000,
+    isBusy: true,
+    blocksShard: false,
   }));
   const ask = (silent: (id: string) => boolean, heardAt = 90_000, blocksShard = false) =>
     eagerCandidates({
       machines: fleet.map((m) => (silent(m.id) ? { ...m, lastHeartbeatAt: heardAt, blocksShard } : m)),
-      ...{ now: 100_000, heartbeatTimeoutMs: 2_000, returnAfterMs: 12_000, shardBlockedMs: 5_000 },
+      now: 100_000,
+      heartbeatTimeoutMs: 2_000,
+      returnAfterMs: 12_000,
+      shardBlockedMs: 5_000,
     });
   assert.deepEqual(
     ask((id) => id === 'm3'),
@@ -36,7 +43,11 @@
     ],
     types: [type],
     isBackedOff: () => false,
-    ...{ freeingCpus: 2, idleReleaseMs: 20_000, mayAllStart: true, warmCpus: 8, freeCpus: 12 },
+    freeingCpus: 2,
+    idleReleaseMs: 20_000,
+    mayAllStart: true,
+    warmCpus: 8,
+    freeCpus: 12,
   };
   const plan = planScaling(input);
   assert.deepEqual(
@@ -59,7 +70,10 @@
 test('a nearly empty machine is emptied into fuller ones, if its tasks can save and it pays', () => {
   const saver = job('saver', 'blue', 'normal', { checkpointS: 20, saveS: 1 });
   const task = (n: number, fields = {}) => ({
-    ...{ key: `saver/${n}`, job: saver, remainingS: 60, canCheckpoint: true },
+    key: `saver/${n}`,
+    job: saver,
+    remainingS: 60,
+    canCheckpoint: true,
     ...fields,
   });
   const machine = (id: string, tasks: ReturnType<typeof task>[]) => ({
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -3,7 +3,11 @@
 import { makeSettings, SettingsError } from '../src/base/settings';
 
 const platform = (): Record<string, unknown> => ({
-  ...{ node: 'a', area: 'z', bind: '10.0.0.1:8080', back: '10.0.0.1:8081', fieldOfTomorrow: 1 },
+  node: 'a',
+  area: 'z',
+  bind: '10.0.0.1:8080',
+  back: '10.0.0.1:8081',
+  fieldOfTomorrow: 1,
   external: { cloud: '10.2.0.2:1', state: '10.2.0.1:1' },
   deployment: {
     teams: [{ name: 'red' }],
--- a/test/sockets.test.ts
+++ b/test/sockets.test.ts
@@ -70,7 +70,9 @@
   const { server, connections } = createNodeServer(
     [route('/up', 'health'), route('/hello', 'workers'), route('/work', 'users')],
     {
-      ...{ maxBodyBytes: 1024, now: () => performance.now(), onError: assert.fail },
+      maxBodyBytes: 1024,
+      now: () => performance.now(),
+      onError: assert.fail,
       connections: { all: 20, workers: 5, workerIdleMs: 60_000 },
       encode: (value) => codec.encode(value),
     },
--- a/test/suspicion-consequences.test.ts
+++ b/test/suspicion-consequences.test.ts
@@ -213,11 +213,15 @@
 test('the suspicion of one controller of several is not that of most, whoever else is away or stalled', () => {
   const subject = { node: 'a', run: 5 };
   const suspects = (fields: Partial<PeerView> = {}, run = 5): PeerView => ({
-    ...{ run: 9, incarnation: 0, isStalled: false, ...fields },
+    run: 9,
+    incarnation: 0,
+    isStalled: false,
+    ...fields,
     opinions: [
       {
         ...({ node: 'a', status: 'suspected', reason: 'no heartbeat', forMs: 1, incarnation: 0 } as const),
-        ...{ run, heardMsAgo: 3_000 },
+        run,
+        heardMsAgo: 3_000,
       },
     ],
   });
--- a/test/transactions.test.ts
+++ b/test/transactions.test.ts
@@ -193,7 +193,10 @@
   await cluster.clock.advance(50_000);
   await look(cluster, ids, over);
   assert.deepEqual(Object.fromEntries(over), {
-    ...{ 'req-1': 'done', 'req-2': 'done', 'req-3': 'withdrawn', 'req-4': 'done' },
+    'req-1': 'done',
+    'req-2': 'done',
+    'req-3': 'withdrawn',
+    'req-4': 'done',
   });
   cluster.assertInvariants();
 }
--- a/test/transport.test.ts
+++ b/test/transport.test.ts
@@ -11,7 +11,9 @@
 test('the server refuses what is too large or unknown, and goes on', async () => {
   const sizes: number[] = [];
   const route = {
-    ...{ method: 'POST' as const, url: '/work', use: 'users' as const },
+    method: 'POST' as const,
+    url: '/work',
+    use: 'users' as const,
     handle: ({ body }: { body: Uint8Array }) => {
       sizes.push(body.length);
       return { status: 200, body: { size: body.length } };
@@ -72,8 +74,11 @@
     {
       kind: 'heartbeat',
       heartbeat: {
-        ...{ from: 'node-2', isViewFresh: true, jobs: [{ id: 'req-1', running: 3, done: 4 }] },
-        ...{ unreachableShards: [3], redirected: [{ shard: 0, machines: 12 }] },
+        from: 'node-2',
+        isViewFresh: true,
+        jobs: [{ id: 'req-1', running: 3, done: 4 }],
+        unreachableShards: [3],
+        redirected: [{ shard: 0, machines: 12 }],
       },
     },
     { kind: 'lease extension request', request: { from: 'node-0', number: 5, revision: 2 ** 33 } },
--- a/test/upgrade-steps.ts
+++ b/test/upgrade-steps.ts
@@ -1,3 +1,4 @@
+/** @file Steps that tests of upgrades from the production version share. */
 import assert from 'node:assert/strict';
 import { read, RECORD_FORMAT } from '../src/bookkeeping/records';
 import type { Request } from './fakes/network';
--- a/test/zone-constraints.test.ts
+++ b/test/zone-constraints.test.ts
@@ -37,13 +37,37 @@
 
 test('an array that must share a zone, or be spread over zones, gets machines where its tasks may go', () => {
   const type = {
-    ...{ name: 'm4', cpus: 4, gpus: 0, memoryGb: 16, cacheGb: 50, fetchGbPerS: 1, price: 1, spotPrice: 0.3 },
-    ...{ bootS: 10, zones: ['a', 'b'] },
+    name: 'm4',
+    cpus: 4,
+    gpus: 0,
+    memoryGb: 16,
+    cacheGb: 50,
+    fetchGbPerS: 1,
+    price: 1,
+    spotPrice: 0.3,
+    bootS: 10,
+    zones: ['a', 'b'],
   };
   const array: Job = {
-    ...{ id: 'req-1', jobClass: 'batch', team: 'blue', priority: 'normal', tasks: 16, cpus: 1, gpus: 0 },
-    ...{ memoryGb: 1, types: null, zone: null, oneZone: false, spread: false, spot: true, image: 'img' },
-    ...{ imageGb: 1, estimateS: 10, checkpointS: 0, saveS: 0, deadlineS: null },
+    id: 'req-1',
+    jobClass: 'batch',
+    team: 'blue',
+    priority: 'normal',
+    tasks: 16,
+    cpus: 1,
+    gpus: 0,
+    memoryGb: 1,
+    types: null,
+    zone: null,
+    oneZone: false,
+    spread: false,
+    spot: true,
+    image: 'img',
+    imageGb: 1,
+    estimateS: 10,
+    checkpointS: 0,
+    saveS: 0,
+    deadlineS: null,
   };
   const busy = { type, spot: true, booting: false, ageMs: 90_000, idleMs: 0 };
   const input: ScalingInput = {
@@ -53,8 +77,13 @@
       ...Array.from({ length: 6 }, (_, n) => ({ ...busy, id: `host-${n}`, zone: 'a' })),
       { ...busy, id: 'host-9', zone: 'b', booting: true },
     ],
-    ...{ types: [type], isBackedOff: () => false, freeingCpus: 0, idleReleaseMs: 20_000 },
-    ...{ mayAllStart: true, warmCpus: 0, freeCpus: 0 },
+    types: [type],
+    isBackedOff: () => false,
+    freeingCpus: 0,
+    idleReleaseMs: 20_000,
+    mayAllStart: true,
+    warmCpus: 0,
+    freeCpus: 0,
   };
   const rented = (fields: Partial<Job>, count: number, zones: [string, number][]): unknown[] =>
     planScaling({
--- a/test/zones.test.ts
+++ b/test/zones.test.ts
@@ -25,7 +25,9 @@
   });
   for (const c of near) cluster.partitionedPairs.add(`${cluster.controllers[relay]?.name}|${c?.name}`);
   return {
-    ...{ owner, relay, far },
+    owner,
+    relay,
+    far,
     heal: () => {
       remove();
       cluster.partitionedPairs.clear();
