--- a/test/fakes/scripted-watch.ts
+++ b/test/fakes/scripted-watch.ts
@@ -13,9 +13,15 @@
   constructor() {
     const store = {
       list: () => Promise.resolve({ entries: [], more: false, revision: this.revision }),
-      watch: () => Promise.resolve({ revision: this.revision, events: this.events }),
+      changes: () => Promise.resolve({ revision: this.revision, events: this.events }),
     };
-    this.cache = new WatchCache(store as unknown as KeyValueStore, 'live/', this.#clock, 1000, 0);
+    this.cache = new WatchCache({
+      store: store as unknown as KeyValueStore,
+      prefix: 'live/',
+      clock: this.#clock,
+      waitMs: 1000,
+      minWatchIntervalMs: 0,
+    });
   }
 
   async step(): Promise<void> {
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -20,7 +20,7 @@
     const apply = ids.slice(from, from + RECORDS_AT_ONCE).map((id) => ({
       set: KEY.machine(id),
       data: {
-        shard: 0,
+        block: 0,
         address: cluster.worker(id).address,
         type: 'm4',
         zone: 'a',
--- a/test/suspicion-messages.test.ts
+++ b/test/suspicion-messages.test.ts
@@ -71,13 +71,13 @@
   const clock = new FakeClock();
   const unreachable = { call: () => new Promise<never>(() => undefined) };
   const limit = new RateLimit(clock, 100, 100);
-  const cache = new WatchCache(
-    new HttpKeyValueStore(unreachable, 'state', limit, limit, 1_000),
-    LIVE,
+  const cache = new WatchCache({
+    store: new HttpKeyValueStore(unreachable, 'state', limit, limit, 1_000),
+    prefix: LIVE,
     clock,
-    1_000,
-    100,
-  );
+    waitMs: 1_000,
+    minWatchIntervalMs: 100,
+  });
   const warnings: string[] = [];
   const log = {
     error: () => undefined,
@@ -85,7 +85,7 @@
     debug: () => undefined,
     warn: (fields: { reason?: string }) => warnings.push(fields.reason ?? ''),
   };
-  const context = { node: 'node-0', peers: ['node-1', 'node-2'], clock, cache, log: log as never };
+  const context = { controllerId: 'node-0', peers: ['node-1', 'node-2'], clock, cache, log: log as never };
   const suspicion = new Suspicion(context, DEFAULT_OPTIONS);
   return { suspicion, warnings };
 }
