--- a/test/fakes/answer-invariants.ts
+++ b/test/fakes/answer-invariants.ts
@@ -88,7 +88,7 @@
     };
   }
 
-  /** Whether a submission names jobs, and users were told of each that it is accepted. */
+  /** Whether a submission names jobs, all of which were accepted by the answers to their users. */
   #namesOnlyAccepted({ awaits }: Submission): boolean {
     if (!awaits || awaits.length === 0) return false;
     return awaits.every((id) => this.context.jobs.get(id)?.accepted !== undefined);
--- a/test/fakes/clock.ts
+++ b/test/fakes/clock.ts
@@ -105,7 +105,7 @@
     await this.#goesOn();
   }
 
-  /** Nothing that was begun goes on. */
+  /** Nothing that the process began continues. */
   kill(): void {
     this.#killed = true;
   }
@@ -124,7 +124,7 @@
     if (this.#killed) await new Promise(() => undefined);
   }
 
-  /** It goes on when the function that is returned is called. */
+  /** The process resumes when the function that is returned is called. */
   freeze(): () => void {
     let thaw: () => void = () => undefined;
     this.#thaw = new Promise((resolve) => {
@@ -136,7 +136,7 @@
     };
   }
 
-  /** What comes from outside waits until the process goes on. */
+  /** What comes from outside waits until the process resumes. */
   async reached<T>(from: Promise<T>): Promise<T> {
     try {
       return await from;
--- a/test/fakes/controller-settings.ts
+++ b/test/fakes/controller-settings.ts
@@ -10,7 +10,7 @@
 
 const DEFAULT_CONTROLLERS = 3;
 
-/** Names and addresses of the controllers that a deployment may have; `nodesOf` tells which it has. */
+/** Names and addresses of the controllers that a deployment may have; `nodesOf` has those that exist. */
 export const NODES = [0, 1, 2, 3, 4].map((index) => ({
   name: `node-${index}`,
   address: `10.0.0.${index + 1}:8080`,
@@ -34,7 +34,7 @@
   versions?: Version[];
   /** Limits of the state service that the settings announce; see `FakeStateService.limits` for their coming into force. */
   nextLimits?: Record<string, unknown>;
-  /** Told of every message from the start on; nobody where there is none. */
+  /** Called for every message from the start on. */
   observer?: Observer | undefined;
 }
 
--- a/test/fakes/dependency-model.ts
+++ b/test/fakes/dependency-model.ts
@@ -45,7 +45,7 @@
     });
   }
 
-  /** When a user was first told that a job which this one needs is cancelled. */
+  /** When it was first answered that a job which this one needs is cancelled. */
   ancestorCancelledAt(id: string): number | undefined {
     const times = [...this.ancestors(id)].flatMap((of) => this.jobs.get(of)?.cancelledAt ?? []);
     return times.length === 0 ? undefined : Math.min(...times);
--- a/test/fakes/deployment.ts
+++ b/test/fakes/deployment.ts
@@ -1,17 +1,19 @@
 /** @file Controllers, state service and network in memory, with the faults that scenarios inject. */
 import assert from 'node:assert/strict';
 import type { Controller } from '../../src/coordination/controller';
+import type { Environment } from '../../src/coordination/environment';
 import { codec } from '../../src/protocol/codec';
 import { readPeerMessage } from '../../src/protocol/peers';
-import type { HttpCaller } from '../../src/transport/http-client';
+import type { HttpCaller, HttpResponse } from '../../src/transport/http-client';
+import type { Route } from '../../src/transport/http-server';
 import { FakeClock, Process } from './clock';
 import { controllerSettings, NODES, nodesOf, type ClusterOptions } from './controller-settings';
-import { FakeNetwork } from './network';
+import { FakeNetwork, type Request } from './network';
 import { FakeKeyValueStore } from './key-value-store';
 import { createController, type Version } from './versions';
 import type { FakeWorker } from './worker';
 
-/** The sender of copies: its answers reach nobody. */
+/** The sender of copies: their answers are dropped. */
 const LATE = 'late';
 
 const nothing = (): void => undefined;
@@ -44,21 +46,21 @@
   readonly controllers: ControllerProcess[] = [];
   /** The share of a core of controllers that start from now on. */
   cpu = 1;
-  /** What controllers tell each other is lost. */
+  /** All messages between controllers are lost. */
   dropsPeerMessages = false;
   /** Kinds of messages between controllers that are lost. */
   readonly lostPeerMessages = new Set<string>();
-  /** Controllers that no other hears, and that hear no other. */
+  /** Controllers that exchange no messages with their peers. */
   readonly isolatedControllers = new Set<string>();
-  /** Pairs of controllers that do not hear each other, as `a|b`. */
+  /** Pairs of controllers that exchange no messages, as `a|b`. */
   readonly partitionedPairs = new Set<string>();
-  /** Pairs of controllers of which the second does not hear the first, as `a>b`. */
+  /** Pairs of controllers of which the second receives no messages of the first, as `a>b`. */
   readonly oneWayLostPairs = new Set<string>();
-  /** Told of each answer that is about to reach a controller, by its index: the moment to stop its process. */
+  /** Called before each answer reaches a controller, with its index: the moment to stop its process. */
   onAnswer: (index: number, request: { path: string; body: unknown }) => void = nothing;
-  /** Told of each line of level info, by the index of the controller that wrote it. */
+  /** Called for each line of level info, with the index of the controller that wrote it. */
   onLog: (index: number, fields: Record<string, unknown>, message: string) => void = nothing;
-  #names = 0;
+  #nameCount = 0;
 
   constructor(protected readonly options: ClusterOptions) {
     this.cpu = options.cpu ?? this.cpu;
@@ -71,70 +73,73 @@
     assert(own);
     const settings = controllerSettings(index, this.options, this.cpu);
     const process = new Process(this.clock);
-    const caller = this.network.caller(own.name);
-    // What a process that was killed had under way ends with it.
-    const outwards: HttpCaller = {
-      call: (...request) => {
-        if (process.isKilled) return new Promise(() => undefined);
-        const [, , path, body] = request;
-        const answered = caller.call(...request).finally(() => {
-          this.onAnswer(index, { path, body });
-        });
-        return process.reached(answered);
-      },
-    };
+    const environment = this.#environment(index, own.name, process);
+    const { controller, routes } = createController(version, settings, environment, quiet);
+    const started = { ...own, version, controller, process, alive: true };
+    this.controllers[index] = started;
+    this.network.attach(own.address, (request) => serve(started, routes, request));
+    controller.start();
+  }
+
+  #environment(index: number, name: string, process: Process): Environment {
+    const caller = this.#callerOf(index, name, process);
     const info = (fields: unknown, message?: string): void => {
       quiet.info(fields, message);
       this.onLog(index, fields as Record<string, unknown>, message ?? '');
     };
-    const outside = {
+    return {
       clock: process,
       startedAt: this.clock.now(),
       random: {
         uniqueName: (): string => {
-          this.#names += 1;
-          return `booking-${this.#names}`;
+          this.#nameCount += 1;
+          return `booking-${this.#nameCount}`;
         },
       },
       log: { ...quiet, info },
-      http: outwards,
-      workers: outwards,
+      http: caller,
+      workers: caller,
       broadcast: (bytes: Uint8Array): void => {
-        if (process.isKilled) return;
-        this.network.report({ kind: 'peer message sent', from: own.name, bytes });
-        if (this.dropsPeerMessages || this.isolatedControllers.has(own.name)) return;
-        if (this.lostPeerMessages.has(readPeerMessage(bytes)?.kind ?? '')) return;
-        for (const other of this.controllers) {
-          const cut =
-            this.partitionedPairs.has(`${own.name}|${other.name}`) ||
-            this.partitionedPairs.has(`${other.name}|${own.name}`) ||
-            this.oneWayLostPairs.has(`${own.name}>${other.name}`);
-          if (!other.alive || cut || this.isolatedControllers.has(other.name) || other.name === own.name)
-            continue;
-          void other.process.reached(Promise.resolve()).then(() => {
-            if (!other.alive) return;
-            this.network.report({ kind: 'peer message received', from: own.name, to: other.name, bytes });
-            other.controller.onPeerFrame(Buffer.from(bytes));
-          });
-        }
+        if (!process.isKilled) this.#broadcast(name, bytes);
       },
     };
-    const { controller, routes } = createController(version, settings, outside, quiet);
-    const started = { ...own, version, controller, process, alive: true };
-    this.controllers[index] = started;
-    this.network.attach(own.address, async ({ method, path, body }) => {
-      const [, head = '', id = '', verb = ''] = path.split('/');
-      const url = `/${head}${id ? '/:id' : ''}${verb ? `/${verb}` : ''}`;
-      const route = routes.find((r) => r.method === method && r.url === url);
-      if (!route) return { status: 404, body: null };
-      const bytes = body === undefined ? new Uint8Array(0) : codec.encode(body);
-      await process.reached(Promise.resolve());
-      const reply = await route.handle({ params: { id }, body: bytes });
-      // A process that was killed meanwhile says no more.
-      if (!started.alive) return new Promise(() => undefined);
-      return { status: reply.status, body: codec.decode(codec.encode(reply.body ?? null)) };
-    });
-    controller.start();
+  }
+
+  /** The requests of a controller; those that a killed process had in flight end with it. */
+  #callerOf(index: number, name: string, process: Process): HttpCaller {
+    const caller = this.network.caller(name);
+    return {
+      call: (...request) => {
+        if (process.isKilled) return new Promise(() => undefined);
+        const [, , path, body] = request;
+        const answered = caller.call(...request).finally(() => {
+          this.onAnswer(index, { path, body });
+        });
+        return process.reached(answered);
+      },
+    };
+  }
+
+  #broadcast(name: string, bytes: Uint8Array): void {
+    this.network.report({ kind: 'peer message sent', from: name, bytes });
+    if (this.dropsPeerMessages || this.isolatedControllers.has(name)) return;
+    if (this.lostPeerMessages.has(readPeerMessage(bytes)?.kind ?? '')) return;
+    for (const peer of this.controllers) {
+      if (!peer.alive || !this.#isConnected(name, peer.name)) continue;
+      void peer.process.reached(Promise.resolve()).then(() => {
+        if (!peer.alive) return;
+        this.network.report({ kind: 'peer message received', from: name, to: peer.name, bytes });
+        peer.controller.onPeerFrame(Buffer.from(bytes));
+      });
+    }
+  }
+
+  /** Whether messages of a controller reach a peer. */
+  #isConnected(from: string, to: string): boolean {
+    if (from === to || this.isolatedControllers.has(to)) return false;
+    if (this.partitionedPairs.has(`${from}|${to}`) || this.partitionedPairs.has(`${to}|${from}`))
+      return false;
+    return !this.oneWayLostPairs.has(`${from}>${to}`);
   }
 
   /** The controller's process is killed. */
@@ -154,7 +159,7 @@
     this.addController(index, version ?? controller.version);
   }
 
-  /** The controller's process stands still, while its clocks go on, until the function that is returned is called. */
+  /** Stops the controller's process, while its clocks go on, until the function that is returned is called. */
   freeze(index: number): () => void {
     const controller = this.controllers[index];
     assert(controller?.alive);
@@ -171,7 +176,7 @@
     };
   }
 
-  /** Whether the controller's process lives and does not stand still. */
+  /** Whether the controller's process is alive and not frozen. */
   isRunning(index: number): boolean {
     const controller = this.controllers[index];
     return controller?.alive === true && !controller.process.isFrozen;
@@ -203,7 +208,7 @@
     return worker;
   }
 
-  /** The controller hears no other, and none hears it, until the function returned is called. */
+  /** The controller and its peers exchange no messages until the function returned is called. */
   isolateFromPeers(index: number): () => void {
     const name = `node-${index}`;
     const pairs = NODES.filter((other) => other.name !== name).map((other) => `${name}|${other.name}`);
@@ -255,3 +260,20 @@
     };
   }
 }
+
+/** Answers a request to a controller, unless its process is killed meanwhile. */
+async function serve(
+  controller: ControllerProcess,
+  routes: readonly Route[],
+  { method, path, body }: Request,
+): Promise<HttpResponse> {
+  const [, head = '', id = '', verb = ''] = path.split('/');
+  const url = `/${head}${id ? '/:id' : ''}${verb ? `/${verb}` : ''}`;
+  const route = routes.find((candidate) => candidate.method === method && candidate.url === url);
+  if (!route) return { status: 404, body: null };
+  const bytes = body === undefined ? new Uint8Array(0) : codec.encode(body);
+  await controller.process.reached(Promise.resolve());
+  const reply = await route.handle({ params: { id }, body: bytes });
+  if (!controller.alive) return new Promise(() => undefined);
+  return { status: reply.status, body: codec.decode(codec.encode(reply.body ?? null)) };
+}
--- a/test/fakes/invariants-harness.ts
+++ b/test/fakes/invariants-harness.ts
@@ -10,7 +10,7 @@
   ['m3', { type: 'm4', zone: 'b', isSpot: false }],
 ]);
 
-/** The rules alone, told by a test what users ask, what they are answered, and what happens on machines. */
+/** Invariants to which a test reports the requests of users, their answers, and what happens on machines. */
 export class InvariantsHarness {
   readonly clock = new FakeClock();
   readonly invariants = new Invariants(this.clock, {
@@ -23,7 +23,7 @@
     machine: (id) => MACHINES.get(id),
   });
 
-  /** A user's request; what is returned is to be called with its answer. */
+  /** A user's request; the function that is returned is to be called with its answer. */
   request(method: string, path: string, body?: unknown): (status: number, state?: string) => void {
     const told = this.invariants.onRequest({ from: 'user', to: 'node', method, path, body });
     return (status, state) => {
--- a/test/fakes/invariants.ts
+++ b/test/fakes/invariants.ts
@@ -96,7 +96,7 @@
     return this.#jobs.unfinished;
   }
 
-  /** Every job that some user was told is known. */
+  /** Every job that some answer said is known. */
   get acceptedJobs(): string[] {
     return this.#jobs.accepted;
   }
@@ -114,7 +114,7 @@
     return this.#jobs.get(id)?.isCancelRequested ?? false;
   }
 
-  /** The final state that a user was told. */
+  /** The final state that was answered. */
   finalState(id: string): string | undefined {
     return this.#jobs.get(id)?.final?.state;
   }
--- a/test/fakes/key-value-store.ts
+++ b/test/fakes/key-value-store.ts
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Adds a rule that tells the fate of requests; the function that is returned removes it. */
+  /** Adds a rule that injects faults into requests; the function that is returned removes it. */
   rule(rule: (request: Request) => StoreFault | undefined): () => void {
     this.#rules.push(rule);
     return () => {
--- a/test/fakes/machine-time.ts
+++ b/test/fakes/machine-time.ts
@@ -1,13 +1,13 @@
-/** @file The time of a machine, which stands still while the machine hangs. */
+/** @file The time of a machine, which stops while the machine hangs. */
 import type { TimerClock } from './clock';
 
 /** Timers of a machine, and what waits until it resumes after a hang. */
 export class MachineTime {
   #isHanging = false;
   #hungAt = 0;
-  /** How long it has stood still before the hang that lasts, if one does. */
-  #stoodMs = 0;
-  /** What goes on when it resumes, in order. */
+  /** How long it has hung before the present hang, if any. */
+  #hungMs = 0;
+  /** What continues when it resumes, in order. */
   #onResume: (() => void)[] = [];
 
   constructor(private readonly clock: TimerClock) {}
@@ -21,16 +21,16 @@
     this.#isHanging = true;
   }
 
-  /** Lets time pass again; what has waited goes on only with `runQueued`. */
+  /** Lets time pass again; what has waited continues only with `runQueued`. */
   resume(): void {
-    this.#stoodMs += this.clock.now() - this.#hungAt;
+    this.#hungMs += this.clock.now() - this.#hungAt;
     this.#isHanging = false;
   }
 
   runQueued(): void {
     const queued = this.#onResume;
     this.#onResume = [];
-    for (const goOn of queued) goOn();
+    for (const proceed of queued) proceed();
   }
 
   /** Drops what has waited. */
@@ -38,22 +38,22 @@
     this.#onResume = [];
   }
 
-  /** Queues what goes on when the machine resumes. */
-  onResume(goOn: () => void): void {
-    this.#onResume.push(goOn);
+  /** Queues what continues when the machine resumes. */
+  onResume(proceed: () => void): void {
+    this.#onResume.push(proceed);
   }
 
   /** A timer in the machine's own time. */
   after(ms: number, fire: () => void): void {
-    const stood = this.#stoodMs;
+    const hungBefore = this.#hungMs;
     this.clock.after(ms, () => {
-      const goOn = (): void => {
-        const missed = this.#stoodMs - stood;
+      const proceed = (): void => {
+        const missed = this.#hungMs - hungBefore;
         if (missed > 0) this.after(missed, fire);
         else fire();
       };
-      if (this.#isHanging) this.#onResume.push(goOn);
-      else goOn();
+      if (this.#isHanging) this.#onResume.push(proceed);
+      else proceed();
     });
   }
 }
--- a/test/fakes/network.ts
+++ b/test/fakes/network.ts
@@ -22,7 +22,7 @@
   | { kind: 'peer message sent'; from: string; bytes: Uint8Array }
   | { kind: 'peer message received'; from: string; to: string; bytes: Uint8Array };
 /**
- * Told of every message and the simulated time: requests and peer messages when they leave, even if they get lost;
+ * Called for every message, with the simulated time: requests and peer messages when they leave, even if they get lost;
  * answers and peer messages when they arrive.
  */
 export type Observer = (message: Message, at: number) => void;
@@ -69,12 +69,12 @@
     this.#watch = watch;
   }
 
-  /** Has every message that crosses the network told from now on. */
+  /** Reports every message that crosses the network from now on. */
   observe(observer: Observer): void {
     this.#observer = observer;
   }
 
-  /** Tells the observer, if there is one; the links between controllers report their messages here. */
+  /** Reports a message to the observer, if any; the links between controllers report theirs here. */
   report(message: Message): void {
     this.#observer?.(message, this.clock.now());
   }
@@ -113,7 +113,7 @@
         void Promise.resolve(host(structuredClone(request))).then((answer) => {
           if (fate === 'hold' || fate === 'lose answer') return;
           this.clock.after(LATENCY_MS, () => {
-            // A sender that has given up hears nothing; of a copy's answer neither.
+            // A sender that has given up gets no answer, and none to a copy either.
             if (over) return;
             over = true;
             this.clock.cancel(timer);
--- a/test/fakes/observed-jobs.ts
+++ b/test/fakes/observed-jobs.ts
@@ -10,10 +10,10 @@
   readonly completed: Set<number>;
   /** The order of the first answer that said that it is known. */
   accepted: number | undefined;
-  /** The final state that a user was told first, and the order of that answer. */
+  /** The first final state that was answered, and the order of that answer. */
   final: { state: string; order: number } | undefined;
   isCancelRequested: boolean;
-  /** When a user was first told that it is cancelled. */
+  /** When it was first answered that it is cancelled. */
   cancelledAt: number | undefined;
   answeredAt: number;
   hasStarted: boolean;
@@ -62,7 +62,7 @@
     this.dependencies.add(id);
   }
 
-  /** Every job that some user was told is known. */
+  /** Every job that some answer said is known. */
   get accepted(): string[] {
     return [...this.#jobs].filter(([, job]) => job.accepted !== undefined).map(([id]) => id);
   }
--- a/test/fakes/ownership-history.ts
+++ b/test/fakes/ownership-history.ts
@@ -34,7 +34,7 @@
   readonly endedAt: number;
 }
 
-/** A rule of ownership that a history breaks. */
+/** An invariant of ownership that a history violates. */
 export interface OwnershipViolation {
   readonly kind: 'two owners' | 'token went back' | 'not reassigned' | 'acted without right';
   readonly detail: string;
@@ -81,7 +81,7 @@
   };
 }
 
-/** The rules that a history breaks: one owner at a time, tokens that rise, orphans reassigned, no act without right. */
+/** The invariants that a history violates: one owner at a time, tokens that rise, orphans reassigned, no act without right. */
 export function checkOwnership(history: OwnershipHistory): OwnershipViolation[] {
   const late = history.orphans.flatMap((orphan) => checkOrphan(orphan, history.endedAt) ?? []);
   const effects = history.effects.map(({ node, what, at }) => {
--- a/test/fakes/ownership-recorder.ts
+++ b/test/fakes/ownership-recorder.ts
@@ -13,8 +13,8 @@
 }
 
 /**
- * Looks at every controller every few milliseconds, and at every request that leaves one. A controller that stands still
- * is looked at too: what it would be allowed to do at this moment counts, since it may go on at this moment.
+ * Looks at every controller every few milliseconds, and at every request that leaves one. A controller that is frozen
+ * is looked at too: what it would be allowed to do at this moment counts, since it may resume at this moment.
  */
 export class OwnershipRecorder {
   readonly #intervals: OwnershipInterval[] = [];
--- a/test/fakes/starvation-detector.ts
+++ b/test/fakes/starvation-detector.ts
@@ -16,7 +16,7 @@
     private readonly cluster: { hasRoom(id: string): boolean; isStarting(task: string): boolean },
   ) {}
 
-  /** To be called about once a second while there is no trouble. */
+  /** To be called about once a second while no fault is active. */
   check(): void {
     const now = this.clock.now();
     const unfinished = new Set(this.invariants.unfinishedJobs);
--- a/test/fakes/submission-model.ts
+++ b/test/fakes/submission-model.ts
@@ -1,6 +1,6 @@
 /** @file Which submissions controllers may accept, as the protocol says it. */
 
-/** A job as its user described it, in the words of the wire, as far as the rules care. */
+/** A job as its user described it, in the words of the wire, as far as the invariants need it. */
 export interface Submission {
   crew: string;
   pieces: number;
@@ -103,7 +103,7 @@
     if (!isListOfIds(awaits)) return 'awaits is invalid';
     const ids = awaits as string[];
     if (ids.includes(nameId as string)) return 'it names itself';
-    // One that was submitted may have been accepted, whether or not its user was told so.
+    // One that was submitted may have been accepted, whether or not its user got an answer.
     const unknown = ids.find((id) => !this.wasSubmitted(id));
     return unknown === undefined ? undefined : `${unknown} was never submitted`;
   }
--- a/test/fakes/versions.ts
+++ b/test/fakes/versions.ts
@@ -26,7 +26,7 @@
   return createRequire(file)(file) as ControllerParts;
 }
 
-/** Errors of the in-memory network, as instances of the version's own class: it tells them by `instanceof`. */
+/** Errors of the in-memory network, as instances of the version's own class, which it recognizes by `instanceof`. */
 function withErrorsOf(parts: ControllerParts, caller: HttpCaller): HttpCaller {
   return {
     call: async (...request) => {
--- a/test/fault-steps.ts
+++ b/test/fault-steps.ts
@@ -44,7 +44,7 @@
   return owner;
 }
 
-/** Sends copies of earlier reports to every controller; nobody waits for the answers. */
+/** Sends copies of earlier reports to every controller; the answers are dropped. */
 export function replayReports(cluster: SimulatedCluster, reports: readonly Record<string, unknown>[]): void {
   for (const { address, alive } of cluster.controllers) {
     if (!alive) continue;
--- a/test/formats/scenario.ts
+++ b/test/formats/scenario.ts
@@ -31,7 +31,7 @@
 }
 
 /**
- * Drives a deployment through everything that makes controllers write a record or tell each other something, and
+ * Drives a deployment through everything that makes controllers write a record or send a peer message, and
  * collects samples. It is run with the sources of either version: what differs between them is in scenario-cluster.ts.
  */
 class Collector {
@@ -138,7 +138,7 @@
   cluster.assertInvariants();
 }
 
-/** The owner hears none of its workers, and gives its shard to the controller that they come to. */
+/** The owner is isolated from its workers, and gives its shard to the controller that they report to. */
 async function runHandOver(collector: Collector): Promise<void> {
   const cluster = collector.cluster();
   await cluster.submit('req-1', { pieces: 16, reckonS: 60 }, 60);
@@ -154,7 +154,7 @@
   cluster.assertInvariants();
 }
 
-/** The owner's lease is prolonged by its peers during an outage; one of them knows of a cancellation, it doesn't. */
+/** The owner's lease is extended by its peers during an outage; one of them knows of a cancellation, it doesn't. */
 async function runOutage(collector: Collector): Promise<void> {
   const cluster = collector.cluster({ blocks: 2 });
   await cluster.submit('req-1', { pieces: 3 }, 200);
--- a/test/limited-store-steps.ts
+++ b/test/limited-store-steps.ts
@@ -75,7 +75,7 @@
     assert.ok(this.cache.loaded);
   }
 
-  /** Lets time pass until it is done, and a little longer for the watches to tell of it. */
+  /** Lets time pass until it is done, and a little longer for the watches to report it. */
   async whileDoing(work: Promise<unknown>): Promise<void> {
     let isOver = false;
     const over = work.finally(() => {
--- a/test/load/detectors.ts
+++ b/test/load/detectors.ts
@@ -22,7 +22,7 @@
 interface Variant {
   readonly name: string;
   readonly detector: 'phi' | 'fixed';
-  /** Whether it goes by what other controllers heard. */
+  /** Whether it uses what peers observed. */
   readonly isIndirect: boolean;
   /** Whether it leaves out its own pauses. */
   readonly hasSelfDoubt: boolean;
--- a/test/load/observed-loopback.ts
+++ b/test/load/observed-loopback.ts
@@ -6,7 +6,7 @@
 /** A worker accepted a command, or the answer to a report, under a token. */
 export type AcceptedObserver = (machine: string, token: number) => void;
 
-/** Tells of each message that a worker accepted from whoever owned its shard. */
+/** Reports each message that a worker accepted from the owner of its shard. */
 export class ObservedLoopbackNetwork extends LoopbackNetwork {
   constructor(
     private readonly machineAt: (address: string) => string | undefined,
--- a/test/simulation/machine-faults.ts
+++ b/test/simulation/machine-faults.ts
@@ -1,7 +1,7 @@
 /** @file Faults of machines and of their connections in the randomized simulation. */
 import type { SimulationContext } from './context';
 
-/** How long before the cloud takes a spot machine away its worker is told of it. */
+/** How long before a spot machine is terminated its worker gets the notice. */
 const SPOT_NOTICE_S = 8;
 const USUAL_BOOT_MS = 3_000;
 
--- a/test/suspicion-steps.ts
+++ b/test/suspicion-steps.ts
@@ -27,7 +27,7 @@
 /** What a scenario does; it ends when the fault is over. */
 export type Fault = (play: FaultScenario) => Promise<void>;
 
-/** Plays a fault on a deployment under work, and checks ownership, the protocol's rules and that no job is left. */
+/** Injects a fault into a deployment under work, and checks ownership, the invariants and that no job is left. */
 export async function runFaultScenario(
   fault: Fault,
   options: ClusterOptions,
@@ -39,7 +39,7 @@
   await cluster.submit('req-2', { pieces: CANCELLED_JOB_TASKS }, 300);
   const tasks = LONG_JOB_TASKS + CANCELLED_JOB_TASKS;
   await cluster.until('all tasks run', () => cluster.runningTasks.length >= tasks);
-  // Peers have to have heard each other for a while before anything can be told from silence.
+  // Peers need heartbeats of each other for a while before silence means anything.
   await cluster.clock.advance(6_000);
   const recorder = new OwnershipRecorder(cluster);
   await fault({ cluster, history: recorder, owner: cluster.owner });
--- a/test/user-steps.ts
+++ b/test/user-steps.ts
@@ -67,7 +67,7 @@
   return String([...states][0]);
 }
 
-/** Nodes learn of changes only by what they read themselves: peer messages are lost, watches are slow. */
+/** Controllers learn of changes only by their own reads: peer messages are lost, watches are slow. */
 export function delayChanges(cluster: SimulatedCluster): void {
   cluster.dropsPeerMessages = true;
   cluster.store.rule(({ path, from }) =>
