--- a/src/transport/rate-limit.ts
+++ b/src/transport/rate-limit.ts
@@ -31,7 +31,7 @@
     this.#tokens -= count;
   }
 
-  /** Takes tokens and waits for their turn. Throws `Busy` at once, with nothing taken, when the wait would be too long. */
+  /** Takes tokens and waits for their turn. Throws `RateLimitExceededError` at once, with nothing taken, when the wait would be too long. */
   async take(count = 1, maxWaitMs = Infinity): Promise<void> {
     this.#fill();
     const missing = Math.min(count, this.burst) - this.#tokens;
