--- a/test/cancellation-bound.test.ts
+++ b/test/cancellation-bound.test.ts
@@ -161,11 +161,11 @@
       clock: cluster.clock,
       settings: cluster.controllers[0]?.controller.settings,
       cache: {
-        loaded: true,
+        isLoaded: true,
         get: (key: string) => (key === lease.key || key === 'live/job/req-1' ? lease : undefined),
         version: () => 0,
       },
-      session: { valid: true, lease: 3, validByOwnLease: ownLease },
+      session: { isValid: true, lease: 3, isValidByOwnLease: ownLease },
       store: { compareAndSwap: () => Promise.resolve({ ok: true, revision: 2 }) },
     };
     const relay = new LeaseRelay(
--- a/test/state-limits-fall.test.ts
+++ b/test/state-limits-fall.test.ts
@@ -43,7 +43,7 @@
       store: service.store,
       cache,
       formatGate: { isOpen },
-      session: { valid: true },
+      session: { isValid: true },
       jobs: {
         rememberFinal: () => undefined,
         finalRecord: (state: string, done: number) => ({ state, done }),
@@ -126,7 +126,7 @@
     store: service.store,
     cache,
     clock: service.clock,
-    session: { valid: true, lease: 1 },
+    session: { isValid: true, lease: 1 },
   } as unknown as ControllerContext;
   const noMachines = { machines: () => [], isDeleted: () => false } as unknown as CloudInventory;
   return new Leader(context, noMachines, () => false);
