--- a/test/load/profile.ts
+++ b/test/load/profile.ts
@@ -22,9 +22,9 @@
   ['peer link', /protobufjs|protocol\/peers|peer-link/],
   ['schema checks', /node_modules\/zod|src\/protocol/],
   ['HTTP and sockets', /^node:|fastify|find-my-way|node_modules|src\/transport|routes/],
-  ['state records and watch', /src\/bookkeeping/],
-  ['placing and fleet', /placement|preemption|scheduler|fleet|consolidation|eager|estimates|dispatch-table/],
-  ['reports and commands', /src\/coordination/],
+  ['records and watch', /src\/bookkeeping/],
+  ['placing and scaling', /coordination\/(scheduling|autoscaling)|run-time-estimates|dispatch-table/],
+  ['heartbeats and commands', /src\/coordination/],
   ['other of ours', /src\//],
 ];
 
