--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -1,12 +1,12 @@
 import { COMPLETION_PREFIXES, readCompletions } from '../../bookkeeping/completion-records';
 import { KEY, PREFIX, read, type MachineRecord } from '../../bookkeeping/records';
-import type { Condition } from '../../protocol/state';
-import type { NodeContext } from '../node-context';
+import type { Condition } from '../../protocol/key-value-store';
+import type { ControllerContext } from '../controller-context';
 import { DispatchTable } from './dispatch-table';
-import { Estimates } from './estimates';
-import { Holdings } from './holdings';
-import { holdsRoom, Machine } from './machine';
-import type { TeamLimits, TeamUse } from '../scheduling/placement';
+import { RunTimeEstimates } from './run-time-estimates';
+import { ResourceUsage } from './resource-usage';
+import { occupiesResources, Machine } from './machine';
+import type { TeamQuota, TeamUsage } from '../scheduling/placement';
 
 /** So many machines that have not shown our token yet hold nothing up: they are asked directly. */
 const FEW_UNSETTLED = 64;
@@ -26,7 +26,7 @@
   /** The version of the shard's lease, for the conditions of transactions. */
   readonly leaseVersion: number;
   /** The revision at which it was acquired. */
-  readonly takenRevision: number;
+  readonly acquiredRevision: number;
 }
 
 /** What a shard's owner knows: jobs with their tables, machines with what they hold, and its right to act. */
@@ -35,59 +35,63 @@
   /** Rises when it is raised; see `TokenRaiser`. */
   fencingToken: number;
   leaseVersion: number;
-  readonly takenRevision: number;
+  readonly acquiredRevision: number;
   readonly machines = new Map<string, Machine>();
   readonly tables = new Map<string, DispatchTable>();
-  readonly holdings = new Holdings();
-  readonly estimates = new Estimates();
-  readonly teams: ReadonlyMap<string, TeamLimits>;
+  readonly usage = new ResourceUsage();
+  readonly runTimes = new RunTimeEstimates();
+  readonly teams: ReadonlyMap<string, TeamQuota>;
   /** Machines that an earlier owner's starts may still reach: no message of theirs has shown our token. */
-  readonly unsettled = new Set<Machine>();
-  readonly timing: { readonly missedMs: number; readonly silentReleaseMs: number; readonly leaseMs: number };
+  readonly unconfirmed = new Set<Machine>();
+  readonly timing: {
+    readonly heartbeatTimeoutMs: number;
+    readonly unresponsiveReturnMs: number;
+    readonly leaseMs: number;
+  };
   /** Steady time at which this owner took it. */
-  readonly takenAt: number;
+  readonly acquiredAt: number;
   stopped = false;
   /** A command ended without showing what became of a start that it carried. */
-  startsInDoubt = false;
+  hasUnconfirmedStarts = false;
   #counter = 0;
-  #settledAt = -Infinity;
+  #lastConfirmationAt = -Infinity;
   /** Each worker reports in this time, having tried other nodes, a second each. */
-  readonly #comingMs: number;
+  readonly #heartbeatWindowMs: number;
 
   constructor(
     tenure: ShardTenure,
-    private readonly deps: NodeContext,
+    private readonly context: ControllerContext,
     /** Work for a round. */
     readonly wake: () => void,
   ) {
-    this.takenAt = deps.clock.now();
+    this.acquiredAt = context.clock.now();
     const { teams } = tenure;
     this.number = tenure.number;
     this.fencingToken = tenure.fencingToken;
     this.leaseVersion = tenure.leaseVersion;
-    this.takenRevision = tenure.takenRevision;
-    const { operator, platform } = deps.settings;
+    this.acquiredRevision = tenure.acquiredRevision;
+    const { operator, platform } = context.settings;
     const { report_s, lease_s } = platform.deployment.workers;
-    this.#comingMs = report_s * 1250 + TRIES_MS;
+    this.#heartbeatWindowMs = report_s * 1250 + TRIES_MS;
     this.teams = new Map(
       platform.deployment.teams.filter((t) => teams.includes(t.name)).map((t) => [t.name, t]),
     );
     this.timing = {
       // A report may come a quarter late, and takes a while to get here.
-      missedMs: operator.missed_reports * report_s * 1250 + 300,
-      silentReleaseMs: (operator.silent_release_s ?? Math.max(4, 4 * report_s)) * 1000,
+      heartbeatTimeoutMs: operator.missed_reports * report_s * 1250 + 300,
+      unresponsiveReturnMs: (operator.silent_release_s ?? Math.max(4, 4 * report_s)) * 1000,
       leaseMs: lease_s * 1000,
     };
-    for (const entry of deps.cache.under(PREFIX.job)) this.loadJob(entry.value, entry.version);
+    for (const entry of context.cache.under(PREFIX.job)) this.loadJob(entry.value, entry.version);
     for (const prefix of COMPLETION_PREFIXES) {
-      for (const entry of deps.cache.under(prefix)) this.#loadDone(entry.key, entry.value, entry.version);
+      for (const entry of context.cache.under(prefix)) this.#loadDone(entry.key, entry.value, entry.version);
     }
-    for (const entry of deps.cache.under(PREFIX.machine)) this.loadMachine(entry.key, entry.value);
+    for (const entry of context.cache.under(PREFIX.machine)) this.loadMachine(entry.key, entry.value);
   }
 
   /** Whether we may act for the shard at this very moment. */
   get entitled(): boolean {
-    return !this.stopped && this.deps.session.valid;
+    return !this.stopped && this.context.session.valid;
   }
 
   leaseCondition(): Condition {
@@ -113,18 +117,18 @@
   }
 
   #addMachine(id: string, record: MachineRecord): void {
-    const type = this.deps.types().find((t) => t.name === record.type);
+    const type = this.context.types().find((t) => t.name === record.type);
     if (!type) return;
-    const now = this.deps.clock.now();
-    const ageMs = Math.max(0, this.deps.clock.date().getTime() - record.rentedAt);
-    const machine = new Machine(id, record, type, now, now - ageMs, this.holdings);
+    const now = this.context.clock.now();
+    const ageMs = Math.max(0, this.context.clock.date().getTime() - record.rentedAt);
+    const machine = new Machine(id, record, type, now, now - ageMs, this.usage);
     this.machines.set(id, machine);
-    if (!machine.settled) this.unsettled.add(machine);
+    if (!machine.isConfirmed) this.unconfirmed.add(machine);
   }
 
-  settle(machine: Machine): void {
-    machine.settled = true;
-    if (this.unsettled.delete(machine)) this.#settledAt = this.deps.clock.now();
+  confirm(machine: Machine): void {
+    machine.isConfirmed = true;
+    if (this.unconfirmed.delete(machine)) this.#lastConfirmationAt = this.context.clock.now();
   }
 
   /**
@@ -133,53 +137,58 @@
    * not get through for ten seconds and more, and lost their leases. So all else waits until they are here, or until no
    * more of them come.
    */
-  workersAreComing(now: number): boolean {
-    if (this.unsettled.size <= FEW_UNSETTLED) return false;
-    return now < this.takenAt + this.#comingMs && now < Math.max(this.takenAt, this.#settledAt) + COME_ON_MS;
+  isAwaitingWorkers(now: number): boolean {
+    if (this.unconfirmed.size <= FEW_UNSETTLED) return false;
+    return (
+      now < this.acquiredAt + this.#heartbeatWindowMs &&
+      now < Math.max(this.acquiredAt, this.#lastConfirmationAt) + COME_ON_MS
+    );
   }
 
-  nextCounter(): number {
+  nextAttemptCounter(): number {
     this.#counter += 1;
     return this.#counter;
   }
 
   /** Every machine of the shard is known: it showed our token, or its lease from before has run out. */
-  get allKnown(): boolean {
-    return this.unsettled.size === 0 && this.holdings.nameless === 0;
+  get areAllMachinesConfirmed(): boolean {
+    return this.unconfirmed.size === 0 && this.usage.unattributedTasks === 0;
   }
 
   /** How many machines should report here, and how many of them have not for a while. */
-  hearing(now: number): { machines: number; unheard: number } {
-    const reporting = [...this.machines.values()].filter((machine) => machine.up && !machine.gone);
-    const unheard = reporting.filter((machine) => machine.isSilent(now, this.timing.missedMs));
+  workerReachability(now: number): { machines: number; unheard: number } {
+    const reporting = [...this.machines.values()].filter((machine) => machine.isUp && !machine.isTerminated);
+    const unheard = reporting.filter((machine) =>
+      machine.hasMissedHeartbeats(now, this.timing.heartbeatTimeoutMs),
+    );
     return { machines: reporting.length, unheard: unheard.length };
   }
 
-  #isKnown(machine: Machine): boolean {
-    if (!machine.settled) return false;
+  #isAccountedFor(machine: Machine): boolean {
+    if (!machine.isConfirmed) return false;
     // A task of a job that is over, found after a takeover: whose limit it fills is not known until it is gone.
     for (const attempt of machine.attempts.values())
-      if (attempt.team === '' && holdsRoom(attempt)) return false;
+      if (attempt.team === '' && occupiesResources(attempt)) return false;
     return true;
   }
 
-  usable(machine: Machine, now: number): boolean {
-    return machine.mayStart(now, this.timing.leaseMs, this.timing.missedMs);
+  isSchedulable(machine: Machine, now: number): boolean {
+    return machine.isSchedulable(now, this.timing.leaseMs, this.timing.heartbeatTimeoutMs);
   }
 
   /** What each team's tasks use, or may use: from before a start leaves until the attempt is known gone. */
-  use(): Map<string, TeamUse> {
-    const use = this.holdings.use();
-    if (this.allKnown) return use;
-    const machines = this.holdings.nameless > 0 ? this.machines.values() : this.unsettled;
+  usageByTeam(): Map<string, TeamUsage> {
+    const use = this.usage.byTeam();
+    if (this.areAllMachinesConfirmed) return use;
+    const machines = this.usage.unattributedTasks > 0 ? this.machines.values() : this.unconfirmed;
     let cpus = 0;
     let gpus = 0;
     for (const machine of machines) {
-      if (this.#isKnown(machine)) continue;
+      if (this.#isAccountedFor(machine)) continue;
       cpus += machine.type.cpus;
       gpus += machine.type.gpus;
     }
-    const most = this.#mostUnseen();
+    const most = this.#maxUnseenUsage();
     for (const name of this.teams.keys()) {
       const team = use.get(name) ?? { cpus: 0, gpus: 0 };
       // What can't be seen yet may all belong to any one team, as far as it has tasks that can't be seen.
@@ -197,14 +206,14 @@
    * the shard that were not found anywhere, and those of jobs that ended lately. Counted in full, the machines of a
    * zone that is cut off would fill every team's limit by themselves. Undefined: nobody here knows which jobs ended.
    */
-  #mostUnseen(): Map<string, { cpus: number; gpus: number }> | undefined {
-    const most = this.deps.ended.use();
+  #maxUnseenUsage(): Map<string, { cpus: number; gpus: number }> | undefined {
+    const most = this.context.endedJobs.usageByTeam();
     if (!most) return undefined;
     for (const { job, unassigned, version } of this.tables.values()) {
-      if (version > this.takenRevision) continue;
+      if (version > this.acquiredRevision) continue;
       // Nobody can have started a job while another that it needs was live, and our view is newer than what any owner
       // before us acted on.
-      if (this.deps.dependencies.waitsForLiveJob(job.id)) continue;
+      if (this.context.dependencies.waitsForLiveJob(job.id)) continue;
       const sum = most.get(job.team) ?? { cpus: 0, gpus: 0 };
       const { cpus, gpus } = job;
       most.set(job.team, { cpus: sum.cpus + unassigned * cpus, gpus: sum.gpus + unassigned * gpus });
@@ -213,9 +222,9 @@
   }
 
   /** Whether all that the job needs is done, by the state service's word. */
-  isReady(table: DispatchTable): boolean {
+  areDependenciesDone(table: DispatchTable): boolean {
     if (table.isReady) return true;
-    const { dependencies } = this.deps;
+    const { dependencies } = this.context;
     const { id } = table.job;
     if (!dependencies.isReady(id)) return false;
     table.isReady = true;
@@ -225,7 +234,7 @@
 
   /** Takes in what has become known of the jobs that need this one. */
   updateUrgency(table: DispatchTable): void {
-    table.setChainPriority(this.deps.chainUrgency.of(table.job.id)?.priority);
+    table.setChainPriority(this.context.chainUrgency.of(table.job.id)?.priority);
   }
 
   /**
@@ -233,23 +242,23 @@
    * end that lets the jobs which need it be in time.
    */
   #dueAt(table: DispatchTable): number {
-    const chainDueAt = this.deps.chainUrgency.of(table.job.id)?.latestFinishAt;
+    const chainDueAt = this.context.chainUrgency.of(table.job.id)?.latestFinishAt;
     const ownDueAt = this.#ownDueAt(table);
     if (ownDueAt !== undefined) return Math.min(ownDueAt, chainDueAt ?? Infinity);
-    const usualDueAt = table.waitingSince + USUAL_RUNS * this.estimates.runS(table.job) * 1000;
+    const usualDueAt = table.waitingSince + USUAL_RUNS * this.runTimes.runS(table.job) * 1000;
     return chainDueAt ?? usualDueAt;
   }
 
   #ownDueAt({ job, submittedAt, waitingSince }: DispatchTable): number | undefined {
     if (job.deadlineS !== null) return submittedAt + job.deadlineS * 1000;
-    const { objectives } = this.deps.settings.platform.deployment;
+    const { objectives } = this.context.settings.platform.deployment;
     const within = objectives.find((o) => o.kind === 'finished' && o.class === job.jobClass)?.within_s;
     return within === undefined ? undefined : waitingSince + within * 1000;
   }
 
   /** How long the job's tasks can still wait and be in time, as far as estimates tell. */
   slackMs(table: DispatchTable): number {
-    return this.#dueAt(table) - this.estimates.runS(table.job) * 1000 - this.deps.clock.date().getTime();
+    return this.#dueAt(table) - this.runTimes.runS(table.job) * 1000 - this.context.clock.date().getTime();
   }
 
   /**
@@ -259,7 +268,7 @@
   startSlackMs(table: DispatchTable): number | undefined {
     const ageMs = this.ageMs(table);
     let least: number | undefined;
-    for (const { kind, class: jobClass, within_s } of this.deps.settings.platform.deployment.objectives) {
+    for (const { kind, class: jobClass, within_s } of this.context.settings.platform.deployment.objectives) {
       if (kind !== 'wait' || jobClass !== table.job.jobClass || within_s === undefined) continue;
       const left = within_s * 1000 - ageMs;
       if (left > 0) least = Math.min(least ?? Infinity, left);
@@ -267,19 +276,19 @@
     return least;
   }
 
-  get #keepKeys(): string[] {
-    return this.deps.settings.platform.others.map(({ node }) => KEY.relay(this.number, node));
+  get #relayKeys(): string[] {
+    return this.context.settings.platform.others.map(({ node }) => KEY.relay(this.number, node));
   }
 
   /** Whether any node relays leases of this shard's workers, as far as our view goes. */
-  get isKept(): boolean {
-    return this.#keepKeys.some((key) => this.deps.cache.get(key) !== undefined);
+  get isRelayed(): boolean {
+    return this.#relayKeys.some((key) => this.context.cache.get(key) !== undefined);
   }
 
   /** Whether the state service says that nobody relays, and our view holds all that was relayed before. */
-  async nobodyKeeps(): Promise<boolean> {
-    const { store, cache, clock } = this.deps;
-    const conditions = this.#keepKeys.map((key) => ({ key, version: 0 }));
+  async confirmNotRelayed(): Promise<boolean> {
+    const { store, cache, clock } = this.context;
+    const conditions = this.#relayKeys.map((key) => ({ key, version: 0 }));
     const result = await store.compareAndSwap([this.leaseCondition(), ...conditions], []);
     while (result.ok && cache.revision < result.revision && this.entitled) await clock.sleep(20);
     return result.ok && this.entitled;
@@ -287,6 +296,6 @@
 
   /** How long the job has waited for machines. */
   ageMs(table: DispatchTable): number {
-    return this.deps.clock.date().getTime() - table.waitingSince;
+    return this.context.clock.date().getTime() - table.waitingSince;
   }
 }
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -66,7 +66,7 @@
   unfinishedDependencies?: readonly string[];
 }
 
-export type AttemptPhase = 'fetching' | 'running' | 'saving' | 'exited';
+export type AttemptPhase = 'fetching' | 'running' | 'checkpointing' | 'exited';
 export type ExitCause = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown';
 
 /** One attempt of one task, as a worker reports it. */
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -3,7 +3,7 @@
 import { readPeerView, writePeerView, type PeerView } from './peer-view';
 import definition from './peer.proto';
 import { codec } from './codec';
-import type { ChangeEvent } from './state';
+import type { ChangeEvent } from './key-value-store';
 
 /** How far a live job is, for display. */
 export interface JobProgress {
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -6,7 +6,7 @@
 const PHASES: Record<string, AttemptPhase> = {
   fetching: 'fetching',
   running: 'running',
-  flushing: 'saving',
+  flushing: 'checkpointing',
   ended: 'exited',
 };
 const CAUSES: Record<string, ExitCause> = {
--- a/src/suspicion/suspicion.ts
+++ b/src/suspicion/suspicion.ts
@@ -5,7 +5,7 @@
 import type { WatchCache } from '../bookkeeping/watch-cache';
 import type { PeerView } from '../protocol/peer-view';
 import type { PeerHeartbeat } from '../protocol/peers';
-import type { ChangeEvent } from '../protocol/state';
+import type { ChangeEvent } from '../protocol/key-value-store';
 import { isStalled, isSuspectedByMost, whyGiveUp, type GiveUpReason } from './give-up';
 import { MoveLimiter } from './move-limiter';
 import type { SuspicionOptions } from './options';
@@ -72,7 +72,7 @@
     const { clock, cache, node, peers } = this.context;
     await clock.sleep(TICK_MS, signal);
     const now = clock.now();
-    this.#run = Math.max(this.#run, cache.version(KEY.node(node)));
+    this.#run = Math.max(this.#run, cache.version(KEY.controller(node)));
     this.#detector.tick(now, (peer) => this.#sessionOf(peer));
     const isSuspected = isSuspectedByMost({ node, run: this.#run }, this.#detector.views, peers.length);
     this.#suspectedSince = isSuspected ? (this.#suspectedSince ?? now) : undefined;
@@ -222,7 +222,7 @@
   #sessionOf(peer: string): SessionState {
     const { cache } = this.context;
     if (!cache.loaded) return 'unknown';
-    return cache.get(KEY.node(peer)) === undefined ? 'ended' : 'exists';
+    return cache.get(KEY.controller(peer)) === undefined ? 'ended' : 'exists';
   }
 
   #onRecord({ key, ...event }: ChangeEvent): void {
--- a/test/format-gate.test.ts
+++ b/test/format-gate.test.ts
@@ -4,7 +4,7 @@
 import { FormatGate } from '../src/bookkeeping/format-gate';
 import { FORMAT, KEY, LIVE, RECORD_FORMAT } from '../src/bookkeeping/records';
 import { WatchCache } from '../src/bookkeeping/watch-cache';
-import { HttpKeyValueStore, StoreRejectedError } from '../src/protocol/state';
+import { HttpKeyValueStore, StoreRejectedError } from '../src/protocol/key-value-store';
 import { RateLimit } from '../src/transport/rate-limit';
 import { FakeClock } from './fakes/clock';
 import { FakeStateService } from './fakes/state-service';
