--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -53,8 +53,6 @@
     'src/coordination/scheduling/placement.ts',
     'src/coordination/routes.ts',
     'src/coordination/scheduling/scheduler.ts',
-    'src/transport/http-client.ts',
-    'src/transport/http-server.ts',
   ],
   complexity: [
     'src/coordination/shard/attempt-manager.ts',
@@ -69,23 +67,18 @@
     'src/bookkeeping/watch-cache.ts',
     'src/coordination/shard/machine.ts',
     'src/main.ts',
-    'src/transport/http-client.ts',
   ],
   'jsdoc/require-jsdoc': [
     'src/base/clock.ts',
-    'src/base/loop.ts',
     'src/base/random.ts',
     'src/base/settings.ts',
     'src/bookkeeping/records.ts',
     'src/cli/program.ts',
     'src/coordination/scheduling/eager.ts',
     'src/coordination/shard/machine.ts',
-    'src/transport/http-client.ts',
-    'src/transport/http-server.ts',
   ],
   'jsdoc/require-file-overview': [
     'src/base/clock.ts',
-    'src/base/loop.ts',
     'src/base/random.ts',
     'src/base/settings.ts',
     'src/base/sockets.ts',
@@ -109,8 +102,6 @@
     'src/coordination/scheduling/scheduler.ts',
     'src/coordination/ownership/fencing-token-raiser.ts',
     'src/main.ts',
-    'src/transport/http-client.ts',
-    'src/transport/http-server.ts',
   ],
 };
 
--- a/src/transport/connections.ts
+++ b/src/transport/connections.ts
@@ -1,7 +1,7 @@
-/** @file Incoming connections, shared out among workers, users and health checks. */
+/** @file Limits on the incoming connections, shared out among workers, users and health checks. */
 import type { Socket } from 'node:net';
 
-/** Who a connection belongs to; told by the first request that comes over it. */
+/** Whom a connection belongs to; the first request that comes over it shows that. */
 export type Use = 'workers' | 'users' | 'health';
 
 /** How many connections may be open, and how long an unused one of a worker is kept. */
@@ -10,34 +10,39 @@
   readonly all: number;
   /** Of these, how many workers may hold. */
   readonly workers: number;
-  /** A worker without a request for so long is dead or reports to another node; its connection may never be closed. */
+  /**
+   * A worker without a request for so long is gone or reports to another controller; its own side may never close the
+   * connection.
+   */
   readonly workerIdleMs: number;
 }
 
 interface Connection {
+  /** Undefined before the first request. */
   use: Use | undefined;
+  /** Requests that are not answered yet. */
   requests: number;
   idleSince: number;
 }
 
 /** Connections kept free, so that one beyond the limit can still be answered with the time after which to retry. */
-const SPARE = 8;
-const SWEEP_MS = 5_000;
-/** From this part of their share on, workers' connections are closed after each answer. */
+const SPARE_CONNECTIONS = 8;
+const IDLE_CHECK_INTERVAL_MS = 5_000;
+/** From this part of their share on, workers' connections are closed after each response. */
 const KEEP_ALIVE_PART = 31 / 32;
 
 /**
- * Open incoming connections by use. Workers keep theirs as long as they report, unless more of them come than their
- * share has room for: then connections are closed after an answer, so that the workers take turns and a fleet of any size
- * is answered, at the cost of opening connections anew. When connections run short, users' connections that are idle
- * between two requests are closed, the longest idle first.
+ * Open incoming connections by use. Workers keep theirs as long as they send heartbeats, unless more of them come than
+ * their share has room for: then connections are closed after a response, so that the workers take turns and a fleet of
+ * any size is answered, at the cost of opening connections anew. When connections run short, users' connections that are
+ * idle between two requests are closed, the longest idle first.
  */
 export class Connections {
   readonly #all = new Map<Socket, Connection>();
   /** Users' connections without a request, the longest idle first. */
   readonly #idleUsers = new Set<Socket>();
   #workers = 0;
-  #sweptAt = 0;
+  #idleCheckedAt = 0;
 
   constructor(
     private readonly limits: ConnectionLimits,
@@ -54,18 +59,18 @@
     return this.#workers;
   }
 
-  /** A connection was opened. */
-  opened(socket: Socket): void {
+  /** Adds a connection that was opened, until it is closed. */
+  add(socket: Socket): void {
     this.#all.set(socket, { use: undefined, requests: 0, idleSince: this.now() });
     socket.once('close', () => {
-      this.#closed(socket);
+      this.#remove(socket);
     });
-    if (this.now() - this.#sweptAt > SWEEP_MS) this.#sweep();
+    if (this.now() - this.#idleCheckedAt > IDLE_CHECK_INTERVAL_MS) this.#closeIdleWorkers();
     if (this.#isFull) this.#idleUsers.values().next().value?.destroy();
   }
 
   /** A request arrived; false when its connection exceeds the limit for its use. */
-  begins(socket: Socket, use: Use): boolean {
+  beginRequest(socket: Socket, use: Use): boolean {
     const connection = this.#all.get(socket);
     if (!connection) return true;
     connection.requests += 1;
@@ -77,8 +82,8 @@
     return true;
   }
 
-  /** A request on the connection was answered. */
-  ends(socket: Socket): void {
+  /** A request on the connection was answered, or broken off. */
+  endRequest(socket: Socket): void {
     const connection = this.#all.get(socket);
     if (!connection) return;
     connection.requests -= 1;
@@ -86,13 +91,13 @@
     if (connection.use === 'users' && connection.requests === 0) this.#idleUsers.add(socket);
   }
 
-  /** Whether a worker's connection is to be closed with the answer. */
+  /** Whether a worker's connection is to be closed with the response. */
   get areWorkersCrowded(): boolean {
     return this.#workers > Math.ceil(this.limits.workers * KEEP_ALIVE_PART);
   }
 
   get #isFull(): boolean {
-    return this.#all.size > this.limits.all - SPARE;
+    return this.#all.size > this.limits.all - SPARE_CONNECTIONS;
   }
 
   #assign(connection: Connection, use: Use | undefined): void {
@@ -101,17 +106,17 @@
     if (use === 'workers') this.#workers += 1;
   }
 
-  #closed(socket: Socket): void {
+  #remove(socket: Socket): void {
     const connection = this.#all.get(socket);
     if (connection) this.#assign(connection, undefined);
     this.#all.delete(socket);
     this.#idleUsers.delete(socket);
   }
 
-  /** Closes unused connections of workers: a machine that lost power never closes its own, and they would add up. */
-  #sweep(): void {
+  /** A machine that lost power never closes its connection; without this, such connections would add up. */
+  #closeIdleWorkers(): void {
     const now = this.now();
-    this.#sweptAt = now;
+    this.#idleCheckedAt = now;
     for (const [socket, { use, requests, idleSince }] of this.#all) {
       if (use === 'workers' && requests === 0 && now - idleSince > this.limits.workerIdleMs) socket.destroy();
     }
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -1,40 +1,144 @@
-import fastify, { type FastifyInstance, type FastifyReply } from 'fastify';
+/** @file The HTTP server for workers, users and health checks. */
+import fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from 'fastify';
 import { Connections, type ConnectionLimits, type Use } from './connections';
 
+/** A request as a route sees it. */
 export interface HttpRequest {
+  /** The parameters in the route's path. */
   params: Record<string, string>;
   /** The raw body; empty when there is none. */
   body: Uint8Array;
 }
 
+/** What a route replies. */
 export interface HttpReply {
   status: number;
+  /** The value to encode; left out: an error that tells the status. */
   body?: unknown;
+  /** The time after which the sender should repeat the request, in seconds. */
   retryAfterS?: number;
 }
 
+/** A path of the server, and what handles its requests. */
 export interface Route {
   method: 'GET' | 'POST';
+  /** May have parameters, such as `/work/:id`. */
   url: string;
+  /** Whose connections bring its requests. */
   use: Use;
+  /** A promise only where the reply has to be waited for. */
   handle(request: HttpRequest): HttpReply | Promise<HttpReply>;
 }
 
-const EMPTY = new Uint8Array(0);
-const MESSAGE_PACK = 'application/msgpack';
-
-/** When to come back, for one connection too many. */
-const RETRY_AFTER_S = 1;
-
+/** What the server goes by. */
 export interface ServerOptions {
   maxBodyBytes: number;
   connections: ConnectionLimits;
   now(): number;
   encode(value: unknown): Uint8Array;
+  /** An error that no route handled; its request is answered with 503. */
   onError(error: unknown): void;
 }
 
-/** The HTTP server: routes in, answers out. A body over the limit is refused (413) without being kept. */
+const EMPTY_BODY = new Uint8Array(0);
+const MESSAGE_PACK = 'application/msgpack';
+/** Connections stay open until one side says `Connection: close`; users poll every few seconds. */
+const KEEP_ALIVE_TIMEOUT_MS = 180_000;
+const MAX_PARAMETER_LENGTH = 300;
+/** When to repeat a request whose connection exceeds the limit. */
+const RETRY_AFTER_S = 1;
+
+const STATUS_NOT_FOUND = 404;
+const STATUS_SERVER_ERROR = 500;
+const STATUS_UNAVAILABLE = 503;
+
+/** Writes replies in the server's encoding. */
+class ReplyWriter {
+  constructor(private readonly encode: ServerOptions['encode']) {}
+
+  write(reply: FastifyReply, { status, body, retryAfterS }: HttpReply): void {
+    if (retryAfterS !== undefined) reply.header('retry-after', Math.ceil(retryAfterS));
+    const bytes = this.encode(body ?? { error: `status ${status}` });
+    // A view of the same bytes: the framework sends a Buffer as it is.
+    const payload = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
+    void reply.code(status).header('content-type', MESSAGE_PACK).send(payload);
+  }
+}
+
+/** Hands each body on as its bytes. */
+function setBodyParsers(server: FastifyInstance): void {
+  server.removeAllContentTypeParsers();
+  // The second by its name, too: only for named types does the parser skip taking the header apart on every request.
+  for (const type of ['*', MESSAGE_PACK]) {
+    server.addContentTypeParser(type, { parseAs: 'buffer' }, (_request, body, done) => {
+      done(null, body);
+    });
+  }
+}
+
+function setErrorReplies(
+  server: FastifyInstance,
+  writer: ReplyWriter,
+  onError: ServerOptions['onError'],
+): void {
+  server.setNotFoundHandler((_request, reply) => {
+    writer.write(reply, { status: STATUS_NOT_FOUND });
+  });
+  server.setErrorHandler((error: Error & { statusCode?: number }, _request, reply) => {
+    const { statusCode } = error;
+    const isClientError = statusCode !== undefined && statusCode !== 0 && statusCode < STATUS_SERVER_ERROR;
+    const status = isClientError ? statusCode : STATUS_UNAVAILABLE;
+    if (status === STATUS_UNAVAILABLE) onError(error);
+    writer.write(reply, { status, body: { error: error.message } });
+  });
+}
+
+/** Handles the requests of a route, inside the limits on connections. */
+class RouteHandler {
+  constructor(
+    private readonly route: Route,
+    private readonly connections: Connections,
+    private readonly writer: ReplyWriter,
+  ) {}
+
+  /**
+   * Most heartbeats are answered in the turn that brings them, without a promise: a thousand workers send hundreds a
+   * second.
+   */
+  handle(request: FastifyRequest, reply: FastifyReply): void {
+    const { socket } = request.raw;
+    reply.raw.once('close', () => {
+      this.connections.endRequest(socket);
+    });
+    if (!this.connections.beginRequest(socket, this.route.use)) {
+      reply.header('connection', 'close');
+      this.writer.write(reply, { status: STATUS_UNAVAILABLE, retryAfterS: RETRY_AFTER_S });
+      return;
+    }
+    const handled = this.route.handle({
+      params: request.params as Record<string, string>,
+      body: request.body instanceof Uint8Array ? request.body : EMPTY_BODY,
+    });
+    if (this.route.use === 'workers' && this.connections.areWorkersCrowded) {
+      reply.header('connection', 'close');
+    }
+    if (handled instanceof Promise) this.#writeLater(reply, handled);
+    else this.writer.write(reply, handled);
+  }
+
+  #writeLater(reply: FastifyReply, handled: Promise<HttpReply>): void {
+    handled.then(
+      (result) => {
+        this.writer.write(reply, result);
+      },
+      (error: unknown) => {
+        reply.send(error);
+      },
+    );
+  }
+}
+
+/** Creates the HTTP server, which does not listen yet. A body over the limit is refused (413) without being kept. */
 export function createServer(
   routes: Route[],
   options: ServerOptions,
@@ -42,77 +146,25 @@
   const server = fastify({
     logger: false,
     bodyLimit: options.maxBodyBytes,
-    // Connections stay open until one side says `Connection: close`; users poll every few seconds.
-    keepAliveTimeout: 180_000,
-    routerOptions: { maxParamLength: 300 },
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
+    routerOptions: { maxParamLength: MAX_PARAMETER_LENGTH },
     exposeHeadRoutes: false,
   });
   const connections = new Connections(options.connections, options.now);
   server.server.maxConnections = options.connections.all;
   server.server.on('connection', (socket) => {
-    connections.opened(socket);
+    connections.add(socket);
   });
-  const send = (reply: { status: number; body?: unknown }): Buffer => {
-    const bytes = options.encode(reply.body ?? { error: `status ${reply.status}` });
-    return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
-  };
-  server.removeAllContentTypeParsers();
-  // The second by its name, too: only for named types does the parser skip taking the header apart on every request.
-  for (const type of ['*', MESSAGE_PACK]) {
-    server.addContentTypeParser(type, { parseAs: 'buffer' }, (_request, body, done) => {
-      done(null, body);
-    });
-  }
-  server.setNotFoundHandler((_request, reply) => {
-    void reply
-      .code(404)
-      .type(MESSAGE_PACK)
-      .send(send({ status: 404 }));
-  });
-  server.setErrorHandler((error: Error & { statusCode?: number }, _request, reply) => {
-    const status = error.statusCode && error.statusCode < 500 ? error.statusCode : 503;
-    if (status === 503) options.onError(error);
-    void reply
-      .code(status)
-      .type(MESSAGE_PACK)
-      .send(send({ status, body: { error: error.message } }));
-  });
-  const answer = (reply: FastifyReply, { status, body, retryAfterS }: HttpReply): void => {
-    if (retryAfterS !== undefined) reply.header('retry-after', Math.ceil(retryAfterS));
-    void reply.code(status).header('content-type', MESSAGE_PACK).send(send({ status, body }));
-  };
+  const writer = new ReplyWriter(options.encode);
+  setBodyParsers(server);
+  setErrorReplies(server, writer, options.onError);
   for (const route of routes) {
+    const handler = new RouteHandler(route, connections, writer);
     server.route({
       method: route.method,
       url: route.url,
-      // Most reports are answered in the turn that brings them, without a promise: a thousand workers send hundreds a second.
       handler: (request, reply) => {
-        const { socket } = request.raw;
-        reply.raw.once('close', () => {
-          connections.ends(socket);
-        });
-        if (!connections.begins(socket, route.use)) {
-          reply.header('connection', 'close');
-          answer(reply, { status: 503, retryAfterS: RETRY_AFTER_S });
-          return;
-        }
-        const handled = route.handle({
-          params: request.params as Record<string, string>,
-          body: request.body instanceof Uint8Array ? request.body : EMPTY,
-        });
-        if (route.use === 'workers' && connections.areWorkersCrowded) reply.header('connection', 'close');
-        if (!(handled instanceof Promise)) {
-          answer(reply, handled);
-          return;
-        }
-        handled.then(
-          (later) => {
-            answer(reply, later);
-          },
-          (error: unknown) => {
-            reply.send(error);
-          },
-        );
+        handler.handle(request, reply);
       },
     });
   }
--- a/src/transport/rate-limit.ts
+++ b/src/transport/rate-limit.ts
@@ -1,14 +1,16 @@
 /** @file A limit on the rate of requests. */
 import type { Clock } from '../base/clock';
 
-/** The wait for a token would be longer than the caller's patience. */
+const MS_PER_S = 1_000;
+
+/** The wait for a turn would be longer than the caller accepts; nothing was taken. */
 export class Busy extends Error {
   override name = 'Busy';
 }
 
 /**
  * A token bucket. `take` waits for its turn, first come first served; `takeNow` goes ahead at once and lets the others
- * wait longer. Tokens are taken before the wait, so that a large batch can't be overtaken for ever by small ones.
+ * wait longer. Tokens are taken before the wait, so that small batches can't overtake a large one again and again.
  */
 export class RateLimit {
   #tokens: number;
@@ -23,25 +25,25 @@
     this.#filledAt = clock.now();
   }
 
-  #fill(): void {
-    const now = this.clock.now();
-    this.#tokens = Math.min(this.burst, this.#tokens + ((now - this.#filledAt) / 1000) * this.perSecond);
-    this.#filledAt = now;
-  }
-
-  /** Takes tokens without waiting. */
+  /** Takes tokens without waiting; the bucket may become overdrawn. */
   takeNow(count = 1): void {
     this.#fill();
     this.#tokens -= count;
   }
 
-  /** Waits for its turn; refused at once, with nothing taken, when that would take too long. */
-  async take(count = 1, patienceMs = Infinity): Promise<void> {
+  /** Takes tokens and waits for their turn. Throws `Busy` at once, with nothing taken, when the wait would be too long. */
+  async take(count = 1, maxWaitMs = Infinity): Promise<void> {
     this.#fill();
     const missing = Math.min(count, this.burst) - this.#tokens;
-    const waitMs = (missing / this.perSecond) * 1000;
-    if (waitMs > patienceMs) throw new Busy(`a turn is ${Math.round(waitMs)} ms away`);
+    const waitMs = (missing / this.perSecond) * MS_PER_S;
+    if (waitMs > maxWaitMs) throw new Busy(`a turn is ${Math.round(waitMs)} ms away`);
     this.#tokens -= count;
     if (waitMs > 0) await this.clock.sleep(waitMs);
   }
+
+  #fill(): void {
+    const now = this.clock.now();
+    this.#tokens = Math.min(this.burst, this.#tokens + ((now - this.#filledAt) / MS_PER_S) * this.perSecond);
+    this.#filledAt = now;
+  }
 }
