--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -51,7 +51,6 @@
     'src/cli/serve.ts',
     'src/coordination/shard/machine.ts',
     'src/coordination/scheduling/placement.ts',
-    'src/coordination/routes.ts',
     'src/coordination/scheduling/scheduler.ts',
   ],
   complexity: [
@@ -98,7 +97,6 @@
     'src/coordination/ownership/leader.ts',
     'src/coordination/shard/machine.ts',
     'src/coordination/shard/completion-recorder.ts',
-    'src/coordination/routes.ts',
     'src/coordination/scheduling/scheduler.ts',
     'src/coordination/ownership/fencing-token-raiser.ts',
     'src/main.ts',
--- /dev/null
+++ b/src/coordination/controller-components.ts
@@ -0,0 +1,113 @@
+/** @file Wires the components of a controller together. */
+import { EpochWriter } from '../admission/epoch-writer';
+import { WakeSignal } from '../base/clock';
+import type { Settings } from '../base/settings';
+import { changesAtOnce } from '../base/state-limits';
+import type { KeyValueStore } from '../protocol/key-value-store';
+import { writePeerMessage } from '../protocol/peers';
+import { FixedTimeout } from '../suspicion/peer-liveness';
+import { PeerReachability } from '../suspicion/peer-reachability';
+import { CloudInventory } from './autoscaling/cloud-inventory';
+import { createControllerServices, type ControllerServices } from './controller-services';
+import type { Environment } from './environment';
+import { HeartbeatRouter } from './heartbeat-router';
+import { JobProgressTable } from './job-progress';
+import { Leader } from './ownership/leader';
+import { LeaseExtension } from './ownership/lease-extension';
+import { LeaseRelay } from './ownership/lease-relay';
+import { ShardAcquisition } from './ownership/shard-acquisition';
+import { PeerMessaging } from './peer-messaging';
+import { Readiness } from './readiness';
+
+/** The components of a controller that own shards, lead, and keep in touch with its peers. */
+interface CoordinationComponents {
+  readonly progress: JobProgressTable;
+  readonly reachability: PeerReachability;
+  readonly cloudInventory: CloudInventory;
+  readonly leaseExtension: LeaseExtension;
+  readonly leader: Leader;
+  readonly acquisition: ShardAcquisition;
+  readonly leaseRelay: LeaseRelay;
+  /** Wakes the leader's loop ahead of its time. */
+  readonly leaderWake: WakeSignal;
+  /** Wakes the loop that acquires shards ahead of its time. */
+  readonly acquisitionWake: WakeSignal;
+}
+
+/** The components of a controller. */
+export interface ControllerComponents extends ControllerServices, CoordinationComponents {
+  readonly epochWriter: EpochWriter;
+  readonly readiness: Readiness;
+  readonly heartbeatRouter: HeartbeatRouter;
+  readonly peerMessaging: PeerMessaging;
+}
+
+/** Creates the components; `store` stands in for the client of the key-value store where one is given. */
+export function createControllerComponents(
+  settings: Settings,
+  environment: Environment,
+  store?: KeyValueStore,
+): ControllerComponents {
+  const services = createControllerServices(settings, environment, store);
+  const coordination = createCoordination(services, environment);
+  const components = { ...services, ...coordination };
+  const readiness = new Readiness(components);
+  return {
+    ...components,
+    epochWriter: createEpochWriter(services, coordination),
+    readiness,
+    heartbeatRouter: new HeartbeatRouter(components),
+    peerMessaging: new PeerMessaging({ ...components, readiness }, (bytes) => {
+      environment.broadcast(bytes);
+    }),
+  };
+}
+
+function createCoordination(
+  { context }: ControllerServices,
+  environment: Environment,
+): CoordinationComponents {
+  const { clock, cache, cloud, suspicion } = context;
+  const reachability = new PeerReachability(clock, suspicion ?? new FixedTimeout(clock));
+  const cloudInventory = new CloudInventory(cloud, clock);
+  // The two refer to each other: a grant must wait for an acquisition, and an acquisition for the end of a grant.
+  const leaseExtension: LeaseExtension = new LeaseExtension(
+    context,
+    (message) => {
+      environment.broadcast(writePeerMessage(message));
+    },
+    () => acquisition.isAcquiring,
+    environment.startedAt,
+  );
+  const acquisition: ShardAcquisition = new ShardAcquisition(context, reachability, leaseExtension);
+  return {
+    progress: new JobProgressTable(cache),
+    reachability,
+    cloudInventory,
+    leaseExtension,
+    leader: new Leader(context, cloudInventory, () => !leaseExtension.mayAcquireShards),
+    acquisition,
+    leaseRelay: new LeaseRelay(context, reachability),
+    leaderWake: new WakeSignal(clock),
+    acquisitionWake: new WakeSignal(clock),
+  };
+}
+
+function createEpochWriter(
+  { context, admission }: ControllerServices,
+  { progress, leader }: CoordinationComponents,
+): EpochWriter {
+  const { dependencies, settings } = context;
+  const { state, teams } = settings.platform.deployment;
+  return new EpochWriter(
+    {
+      ...context,
+      changes: changesAtOnce(state),
+      progressOf: (id) => progress.get(id),
+      waitsForJobs: (id) => dependencies.graph.has(id) && !dependencies.isReady(id),
+      teamLimit: (team) => teams.find(({ name }) => name === team)?.cpus_max ?? 0,
+      leadership: () => leader.leadershipCondition(),
+    },
+    admission,
+  );
+}
--- a/src/coordination/controller-context.ts
+++ b/src/coordination/controller-context.ts
@@ -1,4 +1,4 @@
-/** @file The services that the parts of a controller node share. */
+/** @file The services that the components of a controller share. */
 import type { Clock } from '../base/clock';
 import type { EventLoopDelay } from '../base/event-loop-delay';
 import type { Log } from '../base/log';
@@ -17,14 +17,14 @@
 import type { Suspicion } from '../suspicion/suspicion';
 import type { HttpCaller } from '../transport/http-client';
 
-/** Shared services of one node. Clock, randomness and all input and output are injected here. */
+/** Shared services of one controller. Clock, randomness and all input and output are injected here. */
 export interface ControllerContext {
   readonly controllerId: string;
   readonly settings: Settings;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Log;
-  /** Decides what work to shed under overload. */
+  /** Tells what work to shed when the process lags behind. */
   readonly eventLoopDelay: EventLoopDelay;
   readonly store: KeyValueStore;
   readonly cache: WatchCache;
@@ -34,13 +34,13 @@
   readonly endedJobs: EndedJobs;
   readonly dependencies: DependencyTracker;
   readonly chainUrgency: ChainUrgency;
-  /** Undefined: suspicion is off here. */
+  /** Undefined where suspicion is off. */
   readonly suspicion: Suspicion | undefined;
   readonly cloud: Cloud;
   /** For calls to workers. */
   readonly workers: HttpCaller;
   /** The machine types that the cloud offers. */
   types(): readonly MachineType[];
-  /** Publishes a change that was just acknowledged to this node's cache and to the peers. */
+  /** Applies a change that was just acknowledged to this controller's cache, and notifies the peers of it. */
   publish(event: ChangeEvent): void;
 }
--- a/src/coordination/controller-services.ts
+++ b/src/coordination/controller-services.ts
@@ -1,4 +1,4 @@
-/** @file Puts together the services that the parts of a controller node share. */
+/** @file Creates the services that the components of a controller share. */
 import { AdmissionControl } from '../admission/admission-control';
 import { readAdmissionOptions, type AdmissionOptions } from '../admission/options';
 import type { Clock } from '../base/clock';
@@ -28,34 +28,35 @@
 import type { ControllerContext } from './controller-context';
 import { ChainUrgency } from './scheduling/chain-urgency';
 
-const STATE_TIMEOUT_MS = 1_500;
+const STORE_TIMEOUT_MS = 1_500;
 const CLOUD_TIMEOUT_MS = 5_000;
-/** This node's part of the limits that all nodes share: one may take more than its share, for others take less. */
-const RATE_PART = 0.6;
-/** Part of the limit on requests for questions whether a deferred job was accepted; each takes up to two requests. */
-const LOOK_UP_PART = 0.05;
+/** This controller's part of the limits that all share: one may take more than its equal share, for others take less. */
+const STORE_RATE_PART = 0.6;
+/** Part of the limit on requests for look-ups of whether a deferred job was accepted; each takes up to two requests. */
+const LOOK_UP_RATE_PART = 0.05;
 const CLOUD_RATE_PART = 0.7;
 const CLOUD_BURST = 2;
+/** How many watches without a change fit into a shard lease, one after the other. */
 const WATCHES_PER_LEASE = 5;
 
-/** The services of one node: its context, and what only the node itself uses. */
+/** The services of one controller: its context, and what only the controller itself uses. */
 export interface ControllerServices {
   readonly context: ControllerContext;
   readonly machineTypes: MachineTypes;
   readonly dependentCancellation: DependentCancellation;
-  /** Undefined: admission is off here. */
+  /** Undefined where admission is off. */
   readonly admission: AdmissionOptions | undefined;
 }
 
-function createStateStore(settings: Settings, { clock, http }: Environment): KeyValueStore {
+function createKeyValueStore(settings: Settings, { clock, http }: Environment): KeyValueStore {
   const { deployment, external } = settings.platform;
   const { rps, write_rps } = deployment.state;
   return new HttpKeyValueStore({
     http,
     address: external.state,
-    requests: new RateLimit(clock, rps * RATE_PART, rps * RATE_PART),
-    writes: new RateLimit(clock, write_rps * RATE_PART, write_rps * RATE_PART),
-    timeoutMs: STATE_TIMEOUT_MS,
+    requests: new RateLimit(clock, rps * STORE_RATE_PART, rps * STORE_RATE_PART),
+    writes: new RateLimit(clock, write_rps * STORE_RATE_PART, write_rps * STORE_RATE_PART),
+    timeoutMs: STORE_TIMEOUT_MS,
   });
 }
 
@@ -74,7 +75,7 @@
   return new FormatGate({ node: platform.node, controllers, store, cache, clock, log });
 }
 
-/** Undefined: suspicion is off here. */
+/** Undefined where suspicion is off. */
 function createSuspicion(
   settings: Settings,
   { clock, log }: Environment,
@@ -91,16 +92,16 @@
   cache: WatchCache,
   finals: FinalStates,
   clock: Clock,
-): { ended: EndedJobs; dependencies: DependencyTracker } {
-  // It hears of an end before the graph forgets the job.
-  const ended = new EndedJobs(cache, clock, platform.deployment.workers.cancel_s, (id) =>
+): { endedJobs: EndedJobs; dependencies: DependencyTracker } {
+  // Its listener is called before the graph forgets the job that ended.
+  const endedJobs = new EndedJobs(cache, clock, platform.deployment.workers.cancel_s, (id) =>
     dependencies.graph.isCancellationPending(id),
   );
   const dependencies = new DependencyTracker(cache, finals, clock);
-  return { ended, dependencies };
+  return { endedJobs, dependencies };
 }
 
-/** What jobs are kept in, and what they depend on. */
+/** What the records of jobs are kept in, and what accepting a job needs. */
 interface JobServices extends Omit<JobStoreContext, 'limits' | 'admission'> {
   readonly log: Log;
 }
@@ -111,7 +112,7 @@
   { log, ...services }: JobServices,
 ): JobStore {
   const { state } = platform.deployment;
-  const lookUps = new RateLimit(services.clock, state.rps * LOOK_UP_PART, state.rps * LOOK_UP_PART);
+  const lookUps = new RateLimit(services.clock, state.rps * LOOK_UP_RATE_PART, state.rps * LOOK_UP_RATE_PART);
   return new JobStore({
     ...services,
     limits: { valueBytes: valueBytes(state), changes: changesAtOnce(state) },
@@ -119,11 +120,11 @@
   });
 }
 
-/** Puts the services together; `store` stands in for the state service's client where one is given. */
+/** Creates the services; `store` stands in for the client of the key-value store where one is given. */
 export function createControllerServices(
   settings: Settings,
   environment: Environment,
-  store: KeyValueStore = createStateStore(settings, environment),
+  store: KeyValueStore = createKeyValueStore(settings, environment),
 ): ControllerServices {
   const { clock, log, workers, random } = environment;
   const { platform, shardLeaseMs, throttling } = settings;
@@ -136,7 +137,7 @@
   };
   const formatGate = createFormatGate(settings, environment, store, cache);
   const finals = new FinalStates(store, formatGate);
-  const { ended, dependencies } = createJobTracking(settings, cache, finals, clock);
+  const { endedJobs, dependencies } = createJobTracking(settings, cache, finals, clock);
   const records = { store, cache, clock, dependencies, publish };
   const admission = readAdmissionOptions(settings);
   const jobs = createJobStore(settings, admission, { ...records, finals, formatGate, log });
@@ -154,7 +155,7 @@
     formatGate,
     session,
     jobs,
-    endedJobs: ended,
+    endedJobs,
     dependencies,
     chainUrgency: new ChainUrgency(dependencies.graph, cache),
     cloud,
--- a/src/coordination/environment.ts
+++ b/src/coordination/environment.ts
@@ -4,17 +4,17 @@
 import type { Random } from '../base/random';
 import type { HttpCaller } from '../transport/http-client';
 
-/** Clock, randomness, log and connections that a node is given. */
+/** Clock, randomness, log and connections that a controller is given. */
 export interface Environment {
   clock: Clock;
-  /** Steady time at which this process began. */
+  /** Steady time at which this process began, in milliseconds. */
   startedAt: number;
   random: Random;
   log: Log;
-  /** For calls to state service and cloud. */
+  /** For calls to the key-value store and the cloud. */
   http: HttpCaller;
   /** For calls to workers. */
   workers: HttpCaller;
-  /** Sends to all other nodes; best effort. */
+  /** Sends a message to all peers; best effort. */
   broadcast(bytes: Uint8Array): void;
 }
--- /dev/null
+++ b/src/coordination/heartbeat-router.ts
@@ -0,0 +1,51 @@
+/** @file Decides who answers a worker's heartbeat: an owner of this controller, a relay, or another controller. */
+import { KEY, read } from '../bookkeeping/records';
+import type { WorkerHeartbeat } from '../protocol/model';
+import type { PeerReachability } from '../suspicion/peer-reachability';
+import type { ControllerContext } from './controller-context';
+import type { LeaseRelay } from './ownership/lease-relay';
+import type { OwnerResponse } from './shard/owner-response';
+import type { ShardOwner } from './shard/shard-owner';
+
+/** What a controller answers a worker's heartbeat. `owner` is undefined where the worker should try any other. */
+export type HeartbeatResponse = OwnerResponse | { kind: 'redirect'; owner: string | undefined };
+
+/** What the router decides by. */
+export interface HeartbeatRouterContext {
+  readonly context: Pick<ControllerContext, 'cache' | 'controllerId'>;
+  readonly acquisition: { readonly owners: ReadonlyMap<number, ShardOwner> };
+  readonly reachability: PeerReachability;
+  readonly leaseRelay: LeaseRelay;
+}
+
+/** Routes heartbeats to the owner of the machine's shard. */
+export class HeartbeatRouter {
+  constructor(private readonly components: HeartbeatRouterContext) {}
+
+  /** Answers without a promise where that is possible, as most heartbeats are. */
+  respond(heartbeat: WorkerHeartbeat): HeartbeatResponse | Promise<HeartbeatResponse> {
+    const { context, acquisition } = this.components;
+    if (!context.cache.loaded) return { kind: 'undecided' };
+    for (const owner of acquisition.owners.values()) {
+      if (owner.stopped || !owner.ownsMachine(heartbeat.machine)) continue;
+      return owner.onHeartbeat(heartbeat);
+    }
+    return this.#respondForOtherOwner(heartbeat);
+  }
+
+  #respondForOtherOwner(heartbeat: WorkerHeartbeat): HeartbeatResponse {
+    const { context, reachability, leaseRelay } = this.components;
+    const { cache, controllerId } = context;
+    const record = read.machine(cache.get(KEY.machine(heartbeat.machine))?.value);
+    // The leader records the machine when the cloud lists it; until then no controller may answer for it.
+    if (!record) return { kind: 'undecided' };
+    const lease = read.lease(cache.get(KEY.lease(record.block))?.value);
+    if (!lease || lease.owner === controllerId) return { kind: 'undecided' };
+    reachability.recordRedirect(heartbeat.machine, record.block);
+    const relayed = record.up ? leaseRelay.respond(heartbeat, record.block) : undefined;
+    if (relayed) return { kind: 'accepted', ...relayed };
+    // Sent back to an owner that is cut off, a worker would spend its lease waiting for it.
+    const owner = reachability.reaches(lease.owner, record.block) ? lease.owner : undefined;
+    return { kind: 'redirect', owner };
+  }
+}
--- a/src/coordination/job-progress.ts
+++ b/src/coordination/job-progress.ts
@@ -1,26 +1,26 @@
-/** @file How far live jobs are, as their owners tell each other; for display only. */
+/** @file The progress of live jobs, as the owners of their shards report it to each other; for display only. */
 import { KEY } from '../bookkeeping/records';
 import type { WatchCache } from '../bookkeeping/watch-cache';
 import type { JobStatus } from '../protocol/model';
 import type { JobProgress } from '../protocol/peers';
 
-/** The latest progress of each live job that an owner told. */
+/** The latest reported progress of each live job. */
 export class JobProgressTable {
   readonly #jobs = new Map<string, JobProgress>();
 
   constructor(private readonly cache: WatchCache) {}
 
-  /** The latest progress of a job. */
+  /** The latest reported progress of a job. */
   get(job: string): JobProgress | undefined {
     return this.#jobs.get(job);
   }
 
-  /** Takes in what an owner told; jobs without a live record are ignored. */
+  /** Takes in what an owner reported; jobs without a live record are ignored. */
   update(jobs: readonly JobProgress[]): void {
     for (const job of jobs) if (this.cache.get(KEY.job(job.id))) this.#jobs.set(job.id, job);
   }
 
-  /** The job's live record is gone. */
+  /** Forgets a job whose live record was deleted. */
   delete(job: string): void {
     this.#jobs.delete(job);
   }
--- a/src/coordination/machine-types.ts
+++ b/src/coordination/machine-types.ts
@@ -1,4 +1,4 @@
-/** @file The machine types that the cloud offers, shared among the nodes through the state service. */
+/** @file The machine types that the cloud offers, shared among the controllers through the key-value store. */
 import type { Clock } from '../base/clock';
 import type { Settings } from '../base/settings';
 import { changesAtOnce, valueBytes } from '../base/state-limits';
@@ -9,7 +9,7 @@
 import type { MachineType } from '../protocol/model';
 import type { KeyValueStore } from '../protocol/key-value-store';
 
-const REFRESH_MS = 60_000;
+const REFRESH_INTERVAL_MS = 60_000;
 const NOT_LOADED_PAUSE_MS = 20;
 
 /** What the list of types is read from and written to. */
@@ -23,25 +23,25 @@
 }
 
 /**
- * The machine types that the cloud offers. The leader asks the cloud and records the answer, which also serves a node
- * that starts while the cloud is down.
+ * The machine types that the cloud offers. The leader asks the cloud and records the response, which also serves a
+ * controller that starts while the cloud is down.
  */
 export class MachineTypes {
   #types: readonly MachineType[] = [];
 
   constructor(private readonly context: MachineTypesContext) {}
 
-  /** The types known so far; empty before the first are. */
+  /** The types known so far; empty at first. */
   get all(): readonly MachineType[] {
     return this.#types;
   }
 
-  /** A record of types has changed. */
+  /** Reads the types again after a change of their records. */
   onRecordChanged(): void {
     this.#types = readTypes(this.context.cache) ?? this.#types;
   }
 
-  /** One step, to be run in a loop; calls back when the types were asked for and answered. */
+  /** One step, to be run in a loop; calls back when the cloud has listed the types. */
   async refresh(isLeader: boolean, onRefreshed: () => void, signal: AbortSignal): Promise<void> {
     const { cache, store, clock, cloud, formatGate, settings } = this.context;
     if (!cache.loaded) {
@@ -59,6 +59,6 @@
       });
       onRefreshed();
     }
-    await clock.sleep(REFRESH_MS, signal);
+    await clock.sleep(REFRESH_INTERVAL_MS, signal);
   }
 }
--- /dev/null
+++ b/src/coordination/peer-messaging.ts
@@ -0,0 +1,80 @@
+/** @file The messages that a controller receives from its peers, and the heartbeats that it sends them. */
+import { readPeerMessage, writePeerMessage, type PeerHeartbeat, type PeerMessage } from '../protocol/peers';
+import { areMostUnreachable, type PeerReachability } from '../suspicion/peer-reachability';
+import type { ControllerContext } from './controller-context';
+import type { JobProgressTable } from './job-progress';
+import { heartbeatMessages } from './ownership/heartbeat-messages';
+import type { LeaseExtension } from './ownership/lease-extension';
+import type { Readiness } from './readiness';
+import type { ShardOwner } from './shard/shard-owner';
+
+/** What peer messages tell of, and where they are delivered. */
+export interface PeerMessagingContext {
+  readonly context: Pick<ControllerContext, 'cache' | 'controllerId' | 'log' | 'suspicion'>;
+  readonly acquisition: { readonly owners: ReadonlyMap<number, ShardOwner> };
+  readonly leaseExtension: LeaseExtension;
+  readonly reachability: PeerReachability;
+  readonly progress: JobProgressTable;
+  readonly readiness: Readiness;
+}
+
+/** Delivers the peers' messages, and sends them this controller's heartbeats. */
+export class PeerMessaging {
+  constructor(
+    private readonly components: PeerMessagingContext,
+    private readonly broadcast: (bytes: Uint8Array) => void,
+  ) {}
+
+  /** Takes in the content of a frame from a peer. */
+  onFrame(bytes: Uint8Array): void {
+    const message = readPeerMessage(bytes);
+    if (message) this.#deliver(message);
+    else this.components.context.log.info('unreadable peer message');
+  }
+
+  /** Sends every peer this controller's heartbeat, in as many messages as the progress of its jobs needs. */
+  sendHeartbeat(): void {
+    const { acquisition, progress } = this.components;
+    const owners = [...acquisition.owners.values()];
+    const jobs = owners.flatMap((owner) => (owner.entitled ? owner.progress() : []));
+    progress.update(jobs);
+    for (const message of heartbeatMessages(this.#heartbeat(owners), jobs)) {
+      this.broadcast(writePeerMessage(message));
+    }
+  }
+
+  #deliver(message: PeerMessage): void {
+    const { context, leaseExtension, reachability, progress } = this.components;
+    switch (message.kind) {
+      case 'change notification':
+        context.cache.offer(message.event);
+        return;
+      case 'lease extension request':
+        leaseExtension.onRequest(message.request);
+        return;
+      case 'lease extension grant':
+        leaseExtension.onGrant(message.grant);
+        return;
+      case 'heartbeat':
+        if (context.suspicion?.accepts(message.heartbeat) === false) return;
+        reachability.onHeartbeat(message.heartbeat);
+        progress.update(message.heartbeat.jobs);
+    }
+  }
+
+  #heartbeat(owners: readonly ShardOwner[]): Omit<PeerHeartbeat, 'jobs'> {
+    const { context, reachability, readiness } = this.components;
+    const unreachable = owners.filter((owner) => {
+      const { machines, unheard } = owner.workerReachability();
+      return areMostUnreachable(machines, unheard);
+    });
+    const heartbeat = {
+      from: context.controllerId,
+      isViewFresh: readiness.isViewFresh,
+      unreachableShards: unreachable.map((owner) => owner.shard),
+      redirected: reachability.redirected(),
+    };
+    const view = context.suspicion?.view();
+    return view === undefined ? heartbeat : { ...heartbeat, view };
+  }
+}
--- /dev/null
+++ b/src/coordination/record-changes.ts
@@ -0,0 +1,38 @@
+/** @file Tells the components of a controller of changed records. */
+import { isCompletionKey } from '../bookkeeping/completion-records';
+import { KEY, PREFIX } from '../bookkeeping/records';
+import { isTypesKey } from '../bookkeeping/type-records';
+import type { ChangeEvent } from '../protocol/key-value-store';
+import type { ControllerComponents } from './controller-components';
+
+const PREFIXES_WITHOUT_WAKE = [
+  PREFIX.machine,
+  PREFIX.dependencyPart,
+  PREFIX.admissionClass,
+  PREFIX.admissionFlow,
+] as const;
+
+/** Whether changes of the record concern neither the leader nor the acquisition of shards. */
+function wakesNoLoop(key: string): boolean {
+  return (
+    isCompletionKey(key) ||
+    key === KEY.admission ||
+    PREFIXES_WITHOUT_WAKE.some((prefix) => key.startsWith(prefix))
+  );
+}
+
+/** Tells the components that a record has changed. */
+export function onRecordChange(components: ControllerComponents, event: ChangeEvent): void {
+  const { acquisition, progress, machineTypes, leaderWake, acquisitionWake } = components;
+  const { key, deleted } = event;
+  for (const owner of acquisition.owners.values()) owner.onChange(event);
+  if (key.startsWith(PREFIX.relay)) return;
+  if (key.startsWith(PREFIX.job)) {
+    if (deleted) progress.delete(key.slice(PREFIX.job.length));
+    return;
+  }
+  if (wakesNoLoop(key)) return;
+  if (isTypesKey(key)) machineTypes.onRecordChanged();
+  leaderWake.wake();
+  acquisitionWake.wake();
+}
--- /dev/null
+++ b/src/coordination/replies.ts
@@ -0,0 +1,65 @@
+/** @file The replies to users and workers, and the one mapping of errors to replies. */
+import { describeError } from '../base/loop';
+import type { Log } from '../base/log';
+import { SubmissionDeferred } from '../bookkeeping/admission-policy';
+import { UnknownDependency } from '../bookkeeping/job-store';
+import type { JobStatus } from '../protocol/model';
+import { writeStatus } from '../protocol/users';
+import { writeHeartbeatResponse, writeRedirect } from '../protocol/workers';
+import type { HttpReply, Route } from '../transport/http-server';
+import type { HeartbeatResponse } from './heartbeat-router';
+
+const RETRY_AFTER_S = 1;
+const NOT_NOW = { error: 'not now' } as const;
+
+/** Refuses a request for good. */
+export function refuse(status: number, error: string): HttpReply {
+  return { status, body: { error } };
+}
+
+/** The reply to a user's request that can't be decided at present: it should be repeated. */
+export function replyNotNow(): HttpReply {
+  return { status: 503, body: NOT_NOW, retryAfterS: RETRY_AFTER_S };
+}
+
+/** The reply that tells a job's status. */
+export function replyWithStatus(status: JobStatus): HttpReply {
+  return { status: 200, body: writeStatus(status) };
+}
+
+/** The reply to a heartbeat. A worker comes again by itself, so it is told no time. */
+export function replyToWorker(response: HeartbeatResponse): HttpReply {
+  switch (response.kind) {
+    case 'accepted':
+      return { status: 200, body: writeHeartbeatResponse(response.fencingToken, response.commands) };
+    case 'redirect':
+      return { status: 421, body: writeRedirect(response.owner) };
+    case 'undecided':
+      return { status: 503, body: NOT_NOW };
+  }
+}
+
+/** The reply to a request that failed with an error. */
+function replyToError(error: unknown, log: Log): HttpReply {
+  if (error instanceof UnknownDependency) return refuse(422, error.message);
+  if (error instanceof SubmissionDeferred) {
+    const { retryAfterS } = error;
+    return { status: 503, body: { error: 'deferred', retryAfterS }, retryAfterS };
+  }
+  if (error !== undefined) log.debug({ err: describeError(error) }, 'a request could not be decided');
+  return replyNotNow();
+}
+
+/** Answers a request whose handler fails, at once or later, with the reply to its error. */
+export function withErrorReplies(handle: Route['handle'], log: Log): Route['handle'] {
+  return (request) => {
+    try {
+      const handled = handle(request);
+      return handled instanceof Promise
+        ? handled.catch((error: unknown) => replyToError(error, log))
+        : handled;
+    } catch (error) {
+      return replyToError(error, log);
+    }
+  };
+}
--- a/src/coordination/routes.ts
+++ b/src/coordination/routes.ts
@@ -1,122 +1,121 @@
+/** @file The HTTP interface for users, workers, operators and the load balancer's health probe. */
 import { traceSubmission } from '../admission/tracing';
-import { describeError } from '../base/loop';
 import type { Log } from '../base/log';
-import { SubmissionDeferred } from '../bookkeeping/admission-policy';
-import { UnknownDependency } from '../bookkeeping/job-store';
-import { JOB_ID, readSubmission, writeJobState, writeStatus } from '../protocol/users';
-import { readHeartbeat, writeRedirect, writeHeartbeatResponse } from '../protocol/workers';
-import type { HttpReply, Route } from '../transport/http-server';
-import type { Controller, HeartbeatResponse } from './controller';
+import { JOB_ID, readSubmission, writeJobState } from '../protocol/users';
+import { readHeartbeat } from '../protocol/workers';
+import type { HttpReply, HttpRequest, Route } from '../transport/http-server';
+import type { Controller } from './controller';
 import { findInfeasibility } from './feasibility';
+import { refuse, replyNotNow, replyToWorker, replyWithStatus, withErrorReplies } from './replies';
 
-const RETRY_AFTER_S = 1;
+/** A handler for each route. */
+class RequestHandlers {
+  constructor(
+    private readonly controller: Controller,
+    private readonly log: Log,
+  ) {}
 
-function toWorker(answer: HeartbeatResponse): HttpReply {
-  if (answer.kind === 'accepted') {
-    return { status: 200, body: writeHeartbeatResponse(answer.fencingToken, answer.commands) };
+  health(): HttpReply {
+    const ready = this.controller.isReady;
+    return { status: ready ? 200 : 503, body: { ready } };
+  }
+
+  peers(): HttpReply {
+    const report = this.controller.peersReport();
+    return report ? { status: 200, body: report } : refuse(404, 'suspicion is off');
   }
-  if (answer.kind === 'redirect') return { status: 421, body: writeRedirect(answer.owner) };
-  return { status: 503, body: { error: 'not now' } };
-}
 
-/** The interface for users and workers. Each request that can't be decided now is answered at once with 503. */
-export function createRoutes(node: Controller, log: Log): Route[] {
-  const { teams } = node.settings.platform.deployment;
-  const undecided = (error?: unknown): HttpReply => {
-    if (error instanceof UnknownDependency) return refused(422, error.message);
-    if (error instanceof SubmissionDeferred) {
-      const { retryAfterS } = error;
-      return { status: 503, body: { error: 'deferred', retryAfterS }, retryAfterS };
+  async submit({ body }: HttpRequest): Promise<HttpReply> {
+    const submission = readSubmission(body);
+    switch (submission.kind) {
+      case 'invalid':
+        return refuse(400, submission.error);
+      case 'invalid dependencies':
+        return this.#statusOr(submission.id, refuse(400, submission.error));
+      case 'valid':
+        break;
     }
-    if (error !== undefined) log.debug({ err: describeError(error) }, 'a request could not be decided');
-    return { status: 503, body: { error: 'not now' }, retryAfterS: RETRY_AFTER_S };
-  };
-  const refused = (status: number, error: string): HttpReply => ({ status, body: { error } });
+    const { controller, log } = this;
+    const { job } = submission;
+    const { types, settings } = controller;
+    if (types.length === 0 || !controller.eventLoopDelay.allowsSubmissions) return replyNotNow();
+    const infeasibility = findInfeasibility(job, types, settings.platform.deployment.teams);
+    if (infeasibility !== undefined) return this.#statusOr(job.id, refuse(422, infeasibility));
+    const { isNew, status } = await traceSubmission(job, () => controller.jobs.accept(job));
+    if (!isNew) return replyWithStatus(controller.withProgress(status));
+    log.info({ job: job.id, jobClass: job.jobClass, team: job.team, tasks: job.tasks }, 'job accepted');
+    return { status: 201, body: writeJobState(job.id, status.state) };
+  }
+
+  async status({ params }: HttpRequest): Promise<HttpReply> {
+    const id = params.id ?? '';
+    const status = JOB_ID.test(id) ? await this.controller.jobs.find(id) : undefined;
+    if (!status) return refuse(404, 'no such job');
+    return replyWithStatus(this.controller.withProgress(status));
+  }
+
+  async cancel({ params }: HttpRequest): Promise<HttpReply> {
+    const id = params.id ?? '';
+    const status = JOB_ID.test(id) ? await this.controller.cancel(id) : undefined;
+    if (!status) return refuse(404, 'no such job');
+    if (status.state === 'cancelled') this.log.info({ job: id }, 'job cancelled');
+    return { status: 200, body: writeJobState(id, status.state) };
+  }
+
+  heartbeat({ body }: HttpRequest): HttpReply | Promise<HttpReply> {
+    const heartbeat = readHeartbeat(body);
+    if (!heartbeat) return refuse(400, 'not a report');
+    const response = this.controller.onHeartbeat(heartbeat);
+    return response instanceof Promise ? response.then(replyToWorker) : replyToWorker(response);
+  }
+
   /** An accepted job stays accepted, whatever a repeated submission says, or the machine types say today. */
-  const knownOr = async (id: string, refusal: HttpReply): Promise<HttpReply> => {
-    const known = await node.jobs.find(id);
-    return known ? { status: 200, body: writeStatus(node.withProgress(known)) } : refusal;
-  };
-  const guarded = (handle: Route['handle']): Route['handle'] => {
-    return (request) => {
-      try {
-        const handled = handle(request);
-        return handled instanceof Promise ? handled.catch(undecided) : handled;
-      } catch (error) {
-        return undecided(error);
-      }
-    };
-  };
+  async #statusOr(id: string, refusal: HttpReply): Promise<HttpReply> {
+    const status = await this.controller.jobs.find(id);
+    return status ? replyWithStatus(this.controller.withProgress(status)) : refusal;
+  }
+}
+
+/** The routes of a controller. Each request that can't be decided at present is answered at once with 503. */
+export function createRoutes(controller: Controller, log: Log): Route[] {
+  const handlers = new RequestHandlers(controller, log);
   return [
     {
       method: 'GET',
       url: '/up',
       use: 'health',
-      handle: () => ({ status: node.isReady ? 200 : 503, body: { ready: node.isReady } }),
+      handle: () => handlers.health(),
     },
     {
       method: 'GET',
       url: '/peers',
       // An operator asks when things go wrong: it is answered like the health probe.
       use: 'health',
-      handle: () => {
-        const report = node.peersReport();
-        return report ? { status: 200, body: report } : refused(404, 'suspicion is off');
-      },
+      handle: () => handlers.peers(),
     },
     {
       method: 'POST',
       url: '/work',
       use: 'users',
-      handle: guarded(async ({ body }) => {
-        const submission = readSubmission(body);
-        if (submission.kind === 'invalid') return refused(400, submission.error);
-        if (submission.kind === 'invalid dependencies') {
-          return knownOr(submission.id, refused(400, submission.error));
-        }
-        const { job } = submission;
-        if (node.types.length === 0 || !node.eventLoopDelay.allowsSubmissions) return undecided();
-        const never = findInfeasibility(job, node.types, teams);
-        if (never !== undefined) return knownOr(job.id, refused(422, never));
-        const { isNew, status } = await traceSubmission(job, () => node.jobs.accept(job));
-        if (!isNew) return { status: 200, body: writeStatus(node.withProgress(status)) };
-        log.info({ job: job.id, jobClass: job.jobClass, team: job.team, tasks: job.tasks }, 'job accepted');
-        return { status: 201, body: writeJobState(job.id, status.state) };
-      }),
+      handle: withErrorReplies((request) => handlers.submit(request), log),
     },
     {
       method: 'GET',
       url: '/work/:id',
       use: 'users',
-      handle: guarded(async ({ params }) => {
-        const id = params.id ?? '';
-        const status = JOB_ID.test(id) ? await node.jobs.find(id) : undefined;
-        if (!status) return { status: 404, body: { error: 'no such job' } };
-        return { status: 200, body: writeStatus(node.withProgress(status)) };
-      }),
+      handle: withErrorReplies((request) => handlers.status(request), log),
     },
     {
       method: 'POST',
       url: '/work/:id/withdraw',
       use: 'users',
-      handle: guarded(async ({ params }) => {
-        const id = params.id ?? '';
-        const status = JOB_ID.test(id) ? await node.cancel(id) : undefined;
-        if (!status) return { status: 404, body: { error: 'no such job' } };
-        if (status.state === 'cancelled') log.info({ job: id }, 'job cancelled');
-        return { status: 200, body: writeJobState(id, status.state) };
-      }),
+      handle: withErrorReplies((request) => handlers.cancel(request), log),
     },
     {
       method: 'POST',
       url: '/hello',
       use: 'workers',
-      handle: guarded(({ body }) => {
-        const heartbeat = readHeartbeat(body);
-        if (!heartbeat) return { status: 400, body: { error: 'not a report' } };
-        const answer = node.onHeartbeat(heartbeat);
-        return answer instanceof Promise ? answer.then(toWorker) : toWorker(answer);
-      }),
+      handle: withErrorReplies((request) => handlers.heartbeat(request), log),
     },
   ];
 }
