--- a/test/admission-failures.test.ts
+++ b/test/admission-failures.test.ts
@@ -15,7 +15,7 @@
 } from './admission-steps';
 import { PatientUsers, type Outcome } from './fakes/patient-users';
 import { submission } from './fakes/submission';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 test('a deferred job gets the same answer at every controller within milliseconds, unless the epoch moved on', async () => {
   const world = admissionWorld();
--- a/test/admission-steps.ts
+++ b/test/admission-steps.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { KEY, read } from '../src/bookkeeping/records';
 import type { Outcome, PatientUsers } from './fakes/patient-users';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 export const ADMISSION = { enabled: true, enter_s: 60, leave_s: 30, stalled_s: 10, epoch_s: 5 };
 export const OBJECTIVES = ['bulk', 'photo', 'index'].map((name) => ({ kind: 'wait', class: name }));
--- a/test/answer-order.test.ts
+++ b/test/answer-order.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { submission } from './fakes/submission';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 import { closeLooks, deafToChanges, ends, NODES, send, settledAs } from './user-steps';
 
 test('right after the acceptance, users ask all nodes before these can know of the job: no node forgets it', async () => {
--- a/test/cancellation-handover.test.ts
+++ b/test/cancellation-handover.test.ts
@@ -1,7 +1,7 @@
 /** @file Cancellations while a shard or the leadership moves to another node. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CANCEL_S, World } from './fakes/world';
+import { CANCEL_S, World } from './fakes/simulated-cluster';
 import { startCount, tasksOf } from './fault-steps';
 
 test('jobs cancelled at any moment of a handover to the node that the workers reach are stopped in time', async () => {
--- a/test/controller-restarts.test.ts
+++ b/test/controller-restarts.test.ts
@@ -1,7 +1,7 @@
 /** @file Controllers restart, or are suspended for longer than their leases. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 test('a controller that comes back soon frees what it held before', async () => {
   const world = new World();
--- a/test/delayed-messages.test.ts
+++ b/test/delayed-messages.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { FakeWorker } from './fakes/worker';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 import { changeLeader, placements, replayReports, startCount, tasksOf } from './fault-steps';
 
 test('replayed reports reach every controller as a new leader takes over, and repeatedly after that: no task moves', async () => {
--- a/test/dependencies-accept.test.ts
+++ b/test/dependencies-accept.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { everywhere, openWorld, standings, submitAfter } from './fakes/chains';
+import { everywhere, openWorld, standings, submitAfter } from './dependency-steps';
 import { submission } from './fakes/submission';
-import type { World } from './fakes/world';
+import type { World } from './fakes/simulated-cluster';
 
 const NODES = [0, 1, 2];
 async function statusOf(world: World, id: string, awaits: unknown, index = 0): Promise<number> {
--- a/test/dependencies-many.test.ts
+++ b/test/dependencies-many.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { everywhere, openWorld, submitAfter, submitChain, submitMany } from './fakes/chains';
+import { everywhere, openWorld, submitAfter, submitChain, submitMany } from './dependency-steps';
 
 const NODES = [0, 1, 2];
 /** How long users wait for the answer to a poll. */
--- a/test/dependencies-start.test.ts
+++ b/test/dependencies-start.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { startsBeforeRecorded, startsOf, submitAfter, untilDependenciesAccepted } from './fakes/chains';
+import { startsBeforeRecorded, startsOf, submitAfter, untilDependenciesAccepted } from './dependency-steps';
 import type { StateFate } from './fakes/state-service';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 const NODES = [0, 1, 2];
 /** The state of a job may lag by this much. */
--- a/test/dependencies-submitted-late.test.ts
+++ b/test/dependencies-submitted-late.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { cancelledWithinBound, everywhere, pipeline, polledThroughBound, submitAfter } from './fakes/chains';
+import { cancelledWithinBound, everywhere, pipeline, polledThroughBound, submitAfter } from './dependency-steps';
 import { submission } from './fakes/submission';
-import { CANCEL_S } from './fakes/world';
+import { CANCEL_S } from './fakes/simulated-cluster';
 
 const NODES = [0, 1, 2];
 
--- a/test/dependencies-waiting.test.ts
+++ b/test/dependencies-waiting.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { startsOf, submitAfter, untilDependenciesAccepted } from './fakes/chains';
-import { World } from './fakes/world';
+import { startsOf, submitAfter, untilDependenciesAccepted } from './dependency-steps';
+import { World } from './fakes/simulated-cluster';
 
 async function openWorld(options: ConstructorParameters<typeof World>[0], capacity: number): Promise<World> {
   const world = new World(options);
--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { submission } from './fakes/submission';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 test('a pipeline runs stage by stage', async () => {
   const world = new World();
--- a/test/dependency-rules.test.ts
+++ b/test/dependency-rules.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Waits } from './fakes/waits';
+import { Waits } from './fakes/starvation-detector';
 import { submission } from './fakes/submission';
-import { Watched } from './fakes/watched';
+import { Watched } from './fakes/invariants-harness';
 
 const CANCEL_MS = 30_000;
 
--- a/test/fakes/chains.ts
+++ b/test/dependency-steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
-import { submission } from './submission';
-import { CANCEL_S, World } from './world';
+import { submission } from './fakes/submission';
+import { CANCEL_S, World } from './fakes/simulated-cluster';
 
 const NODES = [0, 1, 2];
 
--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -1,7 +1,7 @@
 /** @file The cloud in memory: it offers one machine type, and rents, lists and releases machines. */
 import type { HttpResponse } from '../../src/transport/http-client';
 import type { Request } from './network';
-import type { MachineFacts } from './rules';
+import type { MachineFacts } from './invariants';
 import type { FakeWorker } from './worker';
 
 /** The only machine type. */
--- a/test/fakes/watched.ts
+++ b/test/fakes/invariants-harness.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { FakeClock } from './clock';
-import { Rules } from './rules';
+import { Rules } from './invariants';
 import { submission } from './submission';
 
 const MACHINES = new Map([
--- a/test/fakes/rules.ts
+++ b/test/fakes/invariants.ts
@@ -1,9 +1,9 @@
 /** @file The rules of the protocol, checked from outside the controllers. */
 import type { HttpResponse } from '../../src/transport/http-client';
 import type { WorldClock } from './clock';
-import { DependencyRules } from './dependency-rules';
+import { DependencyRules } from './dependency-model';
 import type { Request } from './network';
-import { SubmissionRules, type Described, type TypeFacts } from './submission-rules';
+import { SubmissionRules, type Described, type TypeFacts } from './submission-model';
 
 export interface MachineFacts {
   frame: string;
--- a/test/fakes/ownership-recorder.ts
+++ b/test/fakes/ownership-recorder.ts
@@ -3,7 +3,7 @@
 import type { ControllerProcess } from './deployment';
 import type { Request } from './network';
 import type { OrphanedJob, OwnershipHistory, OwnershipInterval, UnentitledEffect } from './ownership-history';
-import type { World } from './world';
+import type { World } from './simulated-cluster';
 
 const SAMPLE_MS = 10;
 
--- a/test/fakes/patient-users.ts
+++ b/test/fakes/patient-users.ts
@@ -1,7 +1,7 @@
 /** @file Users who submit jobs as the protocol has it: they follow `Retry-After`, and give up after a minute. */
 import type { HttpResponse } from '../../src/transport/http-client';
 import { submission } from './submission';
-import type { World } from './world';
+import type { World } from './simulated-cluster';
 
 const USER = 'user';
 const TIMEOUT_MS = 5_000;
--- a/test/fakes/world.ts
+++ b/test/fakes/simulated-cluster.ts
@@ -5,9 +5,9 @@
 import { CANCEL_S, CLOUD, LEASE_S, nodesOf, REPORT_S, STATE, type WorldOptions } from './controller-settings';
 import { Deployment } from './deployment';
 import type { Request } from './network';
-import { Rules, type MachineFacts } from './rules';
+import { Rules, type MachineFacts } from './invariants';
 import { submission } from './submission';
-import { Waits } from './waits';
+import { Waits } from './starvation-detector';
 import { FakeWorker, type JobFacts } from './worker';
 
 export { CANCEL_S };
--- a/test/fakes/waits.ts
+++ b/test/fakes/starvation-detector.ts
@@ -1,6 +1,6 @@
 /** @file Finds jobs that wait though they could run. */
 import type { WorldClock } from './clock';
-import type { Rules } from './rules';
+import type { Rules } from './invariants';
 
 /** How long a job may wait while there is room for it. */
 const WAIT_MS = 90_000;
--- a/test/fault-steps.ts
+++ b/test/fault-steps.ts
@@ -1,5 +1,5 @@
 /** @file Steps that several scenarios with combined faults share. */
-import type { World } from './fakes/world';
+import type { World } from './fakes/simulated-cluster';
 
 /**
  * Waits until every controller has seen the end of each job whose tasks may still run anywhere, with empty machines
--- a/test/formats/scenario.ts
+++ b/test/formats/scenario.ts
@@ -2,7 +2,7 @@
 import { readPeerMessage } from '../../src/protocol/peers';
 import type { Controller } from '../../src/coordination/controller';
 import type { ControllerProcess } from '../fakes/deployment';
-import { World } from '../fakes/world';
+import { World } from '../fakes/simulated-cluster';
 import { keyPattern, type PeerSample, type RecordSample, type Samples } from './samples';
 import { valueShape, wireShape } from './shape';
 
--- a/test/gap.test.ts
+++ b/test/gap.test.ts
@@ -9,7 +9,7 @@
 import type { ChangeEvent } from '../src/protocol/key-value-store';
 import { parseHeartbeat } from '../src/protocol/workers';
 import { ScriptedWatch } from './fakes/scripted-watch';
-import { CANCEL_S, World } from './fakes/world';
+import { CANCEL_S, World } from './fakes/simulated-cluster';
 
 /** A job that is to be cancelled and one that isn't, both with long to go; who owns them, and the two others. */
 async function busyWorld(
--- a/test/hearing.test.ts
+++ b/test/hearing.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { FakeWorker } from './fakes/worker';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 /** From now on the machine's reports arrive, but neither answers nor commands reach it. */
 function deafen(world: World, worker: FakeWorker, starts: string[]): () => void {
--- a/test/rules.test.ts
+++ b/test/invariants.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Waits } from './fakes/waits';
+import { Waits } from './fakes/starvation-detector';
 import { submission } from './fakes/submission';
-import { Watched } from './fakes/watched';
-import { World } from './fakes/world';
+import { Watched } from './fakes/invariants-harness';
+import { World } from './fakes/simulated-cluster';
 
 const poll = ['GET', '/work/req-1'] as const;
 const withdraw = ['POST', '/work/req-1/withdraw'] as const;
--- a/test/jobs.test.ts
+++ b/test/jobs.test.ts
@@ -3,7 +3,7 @@
 import { Bitmap } from '../src/bookkeeping/bitmap';
 import { CHUNK_TASKS } from '../src/bookkeeping/completion-records';
 import { submission } from './fakes/submission';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 test('a job runs to its end, and every node says so', async () => {
   const world = new World();
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { KEY } from '../src/bookkeeping/records';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 const MACHINES = 4_000;
 const RECORDS_AT_ONCE = 500;
--- a/test/lasting.test.ts
+++ b/test/lasting.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 /** Keeps the fleet full of small jobs for a while; returns how many were submitted. */
 async function surplus(world: World, seconds: number, each: () => void): Promise<number> {
--- a/test/leader-changes.test.ts
+++ b/test/leader-changes.test.ts
@@ -1,7 +1,7 @@
 /** @file Repeated leader changes, alone and with other faults. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CANCEL_S, World } from './fakes/world';
+import { CANCEL_S, World } from './fakes/simulated-cluster';
 import { changeLeader, startCount, tasksOf } from './fault-steps';
 
 test('jobs of three tasks that end far apart, a takeover before each end: no task is lost or runs twice', async () => {
--- a/test/lean.test.ts
+++ b/test/lean.test.ts
@@ -11,7 +11,7 @@
 import { HttpClient, NoResponseError } from '../src/transport/http-client';
 import { FakeClock } from './fakes/clock';
 import { submission } from './fakes/submission';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 test('from an eighth of a core on nothing changes with the quota; below, budgets and shards make up for it', () => {
   const usual = { shards: 1, roundBudgetMs: 40, roundPauseMs: 200, watchPaceMs: 100 };
--- a/test/machine-records.test.ts
+++ b/test/machine-records.test.ts
@@ -1,7 +1,7 @@
 /** @file Records of new machines while the state service loses or delays writes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 import { startCount } from './fault-steps';
 
 /** Drops every transaction that would record a machine as up, or only its answer. */
--- a/test/malformed-messages.test.ts
+++ b/test/malformed-messages.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import type { HttpResponse } from '../src/transport/http-client';
 import { submission } from './fakes/submission';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 import { NODES } from './user-steps';
 
 const STATE = '10.2.0.1:2379';
--- a/test/record-sweep.test.ts
+++ b/test/record-sweep.test.ts
@@ -3,7 +3,7 @@
 import { RecordGarbageCollector } from '../src/coordination/ownership/record-garbage-collector';
 import { submission } from './fakes/submission';
 import { Service } from './limited-service';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 const MANY = 1_500;
 const ids = Array.from({ length: MANY }, (_, number) => `req-${number + 1_000_000_000}`);
--- a/test/restarts.test.ts
+++ b/test/restarts.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 test('a controller back within a fraction of a second goes on, also while others elect', async () => {
   const world = new World();
--- a/test/walk.test.ts
+++ b/test/simulation.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { canonicalJson, TrafficDigest } from './fakes/traffic-digest';
-import { Walk } from './walk';
+import { Walk } from './simulation/simulation';
 
 const SEEDS = [1, 2, 3, 4];
 
--- a/test/walk-meetings.ts
+++ b/test/simulation/fault-combinations.ts
@@ -1,5 +1,5 @@
-import type { HttpResponse } from '../src/transport/http-client';
-import type { World } from './fakes/world';
+import type { HttpResponse } from '../../src/transport/http-client';
+import type { World } from '../fakes/simulated-cluster';
 
 const NODES = [0, 1, 2];
 
--- a/test/walk-many.ts
+++ b/test/simulation/run.ts
@@ -1,6 +1,6 @@
 import { parseArgs } from 'node:util';
-import { TrafficDigest } from './fakes/traffic-digest';
-import { Walk } from './walk';
+import { TrafficDigest } from '../fakes/traffic-digest';
+import { Walk } from './simulation';
 
 /**
  * Walks over many seeds: `npm run walk -- --seeds 200 --from 1`; with `--first` up to the first that fails; with
--- a/test/walk.ts
+++ b/test/simulation/simulation.ts
@@ -1,11 +1,11 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import type { HttpResponse } from '../src/transport/http-client';
-import type { Observer } from './fakes/network';
-import { submission } from './fakes/submission';
-import { World } from './fakes/world';
-import { WalkChains } from './walk-chains';
-import { Meetings, type Walker } from './walk-meetings';
+import type { HttpResponse } from '../../src/transport/http-client';
+import type { Observer } from '../fakes/network';
+import { submission } from '../fakes/submission';
+import { World } from '../fakes/simulated-cluster';
+import { WalkChains } from './dependency-chains';
+import { Meetings, type Walker } from './fault-combinations';
 
 const MACHINES = 14;
 /** CPUs that team red may use at once. */
--- a/test/state-limits-fall.test.ts
+++ b/test/state-limits-fall.test.ts
@@ -12,7 +12,7 @@
 import { type Condition } from '../src/protocol/key-value-store';
 import { submission } from './fakes/submission';
 import { FALLEN, FALLEN_SERVICE, NOW_SERVICE, platform, quiet, Service } from './limited-service';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 const TASKS = 100_000;
 
--- a/test/steady-load.test.ts
+++ b/test/steady-load.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { submission } from './fakes/submission';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 import { send } from './user-steps';
 
 const STATE = '10.2.0.1:2379';
--- a/test/submission-answers.test.ts
+++ b/test/submission-answers.test.ts
@@ -5,7 +5,7 @@
 import { codec } from '../src/protocol/codec';
 import type { HttpResponse } from '../src/transport/http-client';
 import { submission } from './fakes/submission';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 import { NODES } from './user-steps';
 
 const CLOUD = '10.2.0.2:8443';
--- a/test/suspicion-messages.test.ts
+++ b/test/suspicion-messages.test.ts
@@ -9,7 +9,7 @@
 import { HttpKeyValueStore } from '../src/protocol/key-value-store';
 import { Suspicion } from '../src/suspicion/suspicion';
 import { FakeClock } from './fakes/clock';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 import { DEFAULT_OPTIONS } from './suspicion-defaults';
 import { SUSPICION_ON } from './suspicion-steps';
 
--- a/test/suspicion-settings.test.ts
+++ b/test/suspicion-settings.test.ts
@@ -12,7 +12,7 @@
 import { describeSuspicion, readSuspicionOptions } from '../src/suspicion/options';
 import type { PeersReport } from '../src/suspicion/peers-report';
 import { controllerSettings } from './fakes/controller-settings';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 import { SUSPICION_ON } from './suspicion-steps';
 
 function settingsWith(suspicion: unknown): Settings {
--- a/test/suspicion-steps.ts
+++ b/test/suspicion-steps.ts
@@ -4,7 +4,7 @@
 import { STATE, type WorldOptions } from './fakes/controller-settings';
 import { checkOwnership, type OwnershipHistory } from './fakes/ownership-history';
 import { OwnershipRecorder } from './fakes/ownership-recorder';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 /** The operator's settings with suspicion on, and as they are without. */
 export const SUSPICION_ON = { suspicion: { enabled: true } };
--- a/test/takeover-steps.ts
+++ b/test/takeover-steps.ts
@@ -1,5 +1,5 @@
 /** @file Steps that several scenarios of takeovers share. */
-import type { World } from './fakes/world';
+import type { World } from './fakes/simulated-cluster';
 
 /** Loses the cloud's releases from now on: an unreachable machine stops only when its lease ends. */
 export function loseReleases(world: World): void {
--- a/test/takeover-unreachable-machines.test.ts
+++ b/test/takeover-unreachable-machines.test.ts
@@ -1,7 +1,7 @@
 /** @file Machines that are unreachable during a takeover, and what may start before they are heard. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 import { loseReleases, replaceOwner } from './takeover-steps';
 
 test('after a takeover no task that an unreachable worker may run is started before its lease has ended', async () => {
--- a/test/takeover.test.ts
+++ b/test/takeover.test.ts
@@ -1,7 +1,7 @@
 /** @file A leader is lost: its successor carries on with its jobs and their running tasks. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 import { replaceOwner } from './takeover-steps';
 
 test('a leader that dies gets a successor, and its tasks go on where they are', async () => {
--- a/test/team-limits.test.ts
+++ b/test/team-limits.test.ts
@@ -1,7 +1,7 @@
 /** @file Team limits while cancelled tasks may still run on unreachable machines. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 import { changeLeader, tasksOf, watchWithoutReleases } from './fault-steps';
 
 for (const [what, trouble] of [
--- a/test/transactions.test.ts
+++ b/test/transactions.test.ts
@@ -7,7 +7,7 @@
 import { NoResponseError } from '../src/transport/http-client';
 import { FakeClock } from './fakes/clock';
 import type { Fate, Request } from './fakes/network';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 type Change = { set?: string; delete?: string; data?: unknown };
 
--- a/test/unreachable-machines.test.ts
+++ b/test/unreachable-machines.test.ts
@@ -1,7 +1,7 @@
 /** @file Machines that are unreachable, one-way or both ways, unresponsive, or that failed a task. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 import { changeLeader } from './fault-steps';
 
 for (const [what, trouble] of [
--- a/test/upgrade-dependencies.test.ts
+++ b/test/upgrade-dependencies.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { Version } from './fakes/versions';
 import { submission } from './fakes/submission';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 const OLD: Version = 'production';
 const NEW: Version = 'present';
--- a/test/upgrade-gate.test.ts
+++ b/test/upgrade-gate.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 import {
   OLD,
   NEW,
--- a/test/upgrade-steps.ts
+++ b/test/upgrade-steps.ts
@@ -2,7 +2,7 @@
 import { read, RECORD_FORMAT } from '../src/bookkeeping/records';
 import type { Request } from './fakes/network';
 import type { Version } from './fakes/versions';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 export const OLD = 'production';
 export const NEW = 'present';
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { read } from '../src/bookkeeping/records';
 import type { Version } from './fakes/versions';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 import {
   OLD,
   NEW,
--- a/test/user-steps.ts
+++ b/test/user-steps.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import type { HttpResponse } from '../src/transport/http-client';
 import type { Request } from './fakes/network';
-import type { World } from './fakes/world';
+import type { World } from './fakes/simulated-cluster';
 
 /** The index of each node. */
 export const NODES = [0, 1, 2];
--- a/test/zone-constraints.test.ts
+++ b/test/zone-constraints.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { planScaling, type ScalingInput } from '../src/coordination/autoscaling/scaling-plan';
 import type { Job } from '../src/protocol/model';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 import { changeLeader, tasksOf, zoneOf } from './fault-steps';
 
 for (const [what, fields] of [
--- a/test/zones.test.ts
+++ b/test/zones.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { World } from './fakes/world';
+import { World } from './fakes/simulated-cluster';
 
 /** Half of the machines, and one controller, can't reach the owner and the third controller, nor these them. */
 async function apart(world: World): Promise<{ owner: number; relay: number; far: string[]; heal(): void }> {
