--- a/test/dependencies-cancel.test.ts
+++ b/test/dependencies-cancel.test.ts
@@ -10,7 +10,7 @@
   submitMany,
   untilDependenciesAccepted,
 } from './dependency-steps';
-import type { StoreFault } from './fakes/state-service';
+import type { StoreFault } from './fakes/key-value-store';
 import { SimulatedCluster } from './fakes/simulated-cluster';
 
 const NODES = [0, 1, 2];
--- a/test/dependencies-many.test.ts
+++ b/test/dependencies-many.test.ts
@@ -1,6 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { assertStateEverywhere, clusterAcceptingDependencies, submitAfter, submitChain, submitMany } from './dependency-steps';
+import {
+  assertStateEverywhere,
+  clusterAcceptingDependencies,
+  submitAfter,
+  submitChain,
+  submitMany,
+} from './dependency-steps';
 
 const NODES = [0, 1, 2];
 /** How long users wait for the answer to a poll. */
--- a/test/takeover-unreachable-machines.test.ts
+++ b/test/failover-unreachable-machines.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SimulatedCluster } from './fakes/simulated-cluster';
-import { loseReleases, replaceOwner } from './takeover-steps';
+import { loseReleases, replaceOwner } from './failover-steps';
 
 test('after a takeover no task that an unreachable worker may run is started before its lease has ended', async () => {
   const cluster = new SimulatedCluster();
--- a/test/takeover.test.ts
+++ b/test/failover.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SimulatedCluster } from './fakes/simulated-cluster';
-import { replaceOwner } from './takeover-steps';
+import { replaceOwner } from './failover-steps';
 
 test('a leader that dies gets a successor, and its tasks go on where they are', async () => {
   const cluster = new SimulatedCluster();
--- a/test/format-gate.test.ts
+++ b/test/format-gate.test.ts
@@ -7,7 +7,7 @@
 import { HttpKeyValueStore, StoreRejectedError } from '../src/protocol/key-value-store';
 import { RateLimit } from '../src/transport/rate-limit';
 import { FakeClock } from './fakes/clock';
-import { FakeKeyValueStore } from './fakes/state-service';
+import { FakeKeyValueStore } from './fakes/key-value-store';
 
 const CONTROLLERS = ['node-0', 'node-1', 'node-2'];
 const SILENT = createLog('silent');
--- a/test/limited-service.ts
+++ b/test/limited-store-steps.ts
@@ -6,7 +6,7 @@
 import { RateLimit } from '../src/transport/rate-limit';
 import { FakeClock } from './fakes/clock';
 import { FakeNetwork } from './fakes/network';
-import { FakeKeyValueStore } from './fakes/state-service';
+import { FakeKeyValueStore } from './fakes/key-value-store';
 
 export const NOW = { rps: 200, write_rps: 100, value_kb: 16, txn_ops: 32 };
 export const FALLEN = { rps: 150, write_rps: 12, value_kb: 2, txn_ops: 10 };
--- a/test/load/admission.ts
+++ b/test/load/admission.ts
@@ -1,7 +1,7 @@
 /** @file Fair admission with three real controllers on the loopback range, ten minutes scaled down. */
 import { parseArgs } from 'node:util';
 import { NoResponseError, type HttpResponse } from '../../src/transport/http-client';
-import { FakeKeyValueStore } from '../fakes/state-service';
+import { FakeKeyValueStore } from '../fakes/key-value-store';
 import { submission } from '../fakes/submission';
 import type { JobProfile } from '../fakes/worker';
 import { CLOUD, ControllerProcesses, STATE } from './controllers';
--- a/test/load/drill.ts
+++ b/test/load/drill.ts
@@ -2,7 +2,7 @@
 import { KEY, read } from '../../src/bookkeeping/records';
 import { NoResponseError } from '../../src/transport/http-client';
 import { checkOwnership } from '../fakes/ownership-history';
-import { FakeKeyValueStore } from '../fakes/state-service';
+import { FakeKeyValueStore } from '../fakes/key-value-store';
 import { submission } from '../fakes/submission';
 import type { JobProfile } from '../fakes/worker';
 import { CLOUD, ControllerProcesses, STATE, TEAMS, type Controller } from './controllers';
--- a/test/load/main.ts
+++ b/test/load/main.ts
@@ -2,7 +2,7 @@
 import { performance } from 'node:perf_hooks';
 import { parseArgs } from 'node:util';
 import { NoResponseError } from '../../src/transport/http-client';
-import { FakeKeyValueStore } from '../fakes/state-service';
+import { FakeKeyValueStore } from '../fakes/key-value-store';
 import { submission } from '../fakes/submission';
 import type { JobProfile } from '../fakes/worker';
 import { CLOUD, ControllerProcesses, STATE, TEAMS, type Controller } from './controllers';
--- a/test/record-sweep.test.ts
+++ b/test/record-sweep.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { RecordGarbageCollector } from '../src/coordination/ownership/record-garbage-collector';
 import { submission } from './fakes/submission';
-import { Service } from './limited-service';
+import { Service } from './limited-store-steps';
 import { SimulatedCluster } from './fakes/simulated-cluster';
 
 const MANY = 1_500;
--- a/test/state-limits-fall.test.ts
+++ b/test/state-limits-fall.test.ts
@@ -11,7 +11,7 @@
 import type { Job } from '../src/protocol/model';
 import { type Condition } from '../src/protocol/key-value-store';
 import { submission } from './fakes/submission';
-import { FALLEN, FALLEN_SERVICE, NOW_SERVICE, platform, quiet, Service } from './limited-service';
+import { FALLEN, FALLEN_SERVICE, NOW_SERVICE, platform, quiet, Service } from './limited-store-steps';
 import { SimulatedCluster } from './fakes/simulated-cluster';
 
 const TASKS = 100_000;
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -12,7 +12,7 @@
 } from '../src/bookkeeping/completion-records';
 import { readTypes, storeTypes, typeBatches } from '../src/bookkeeping/type-records';
 import type { MachineType } from '../src/protocol/model';
-import { FALLEN, FALLEN_SERVICE, NOW, platform, Service } from './limited-service';
+import { FALLEN, FALLEN_SERVICE, NOW, platform, Service } from './limited-store-steps';
 
 const TASKS = 100_000;
 
--- a/test/suspicion-waking.test.ts
+++ b/test/suspicion-waking.test.ts
@@ -8,7 +8,14 @@
 import { codec } from '../src/protocol/codec';
 import { HttpClient, NoResponseError } from '../src/transport/http-client';
 import { FakeClock } from './fakes/clock';
-import { freezeFor, otherControllers, runFaultScenario, SUSPICION_ON, submitAndCancelDuring, type Fault } from './suspicion-steps';
+import {
+  freezeFor,
+  otherControllers,
+  runFaultScenario,
+  SUSPICION_ON,
+  submitAndCancelDuring,
+  type Fault,
+} from './suspicion-steps';
 
 const STALL_MS = 8_000;
 const SEARCH_MS = 20_000;
