--- a/test/load/detectors.ts
+++ b/test/load/detectors.ts
@@ -5,7 +5,7 @@
 import { PeerDetector } from '../../src/suspicion/peer-detector';
 import { TICK_MS } from '../../src/suspicion/running-clock';
 import { DEFAULT_OPTIONS } from '../suspicion-defaults';
-import { createRandom, type RandomBetween } from './drill-random';
+import { createRandom, type RandomBetween } from './random-between';
 
 const { values: args } = parseArgs({
   options: { hours: { type: 'string', default: '10' }, seed: { type: 'string', default: '1' } },
