--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -35,7 +35,7 @@
     if (leaving.length === 0) return;
     const batch = leaving.slice(0, MAX_MACHINES_PER_DELETE);
     // From here on the machine may disappear at any moment, whatever the cloud answers: it is never used again.
-    for (const machine of batch) machine.requestReturn();
+    for (const machine of batch) machine.markReleaseRequested();
     await this.context.cloud.deleteMachines(
       batch.map((machine) => machine.id),
       () => this.owner.entitled,
--- a/src/coordination/autoscaling/scaling-input.ts
+++ b/src/coordination/autoscaling/scaling-input.ts
@@ -52,7 +52,7 @@
   const { rent_patience } = context.settings.operator;
   const fleet: Fleet = { machines: [], totalCpus: 0, freeCpus: 0, freeingCpus: 0 };
   for (const machine of shard.machines.values()) {
-    if (machine.drainReason !== undefined || machine.isReturnRequested) continue;
+    if (machine.drainReason !== undefined || machine.isReleaseRequested) continue;
     const isSchedulable = shard.isSchedulable(machine, now);
     fleet.machines.push(describeMachine(machine, isSchedulable, now));
     if (!machine.isUp) continue;
@@ -77,7 +77,7 @@
     zone: machine.record.zone,
     spot: machine.record.spot,
     isBooting: !machine.isUp,
-    ageMs: now - machine.knownSince,
+    ageMs: now - machine.rentedSince,
     idleMs: isIdle ? now - machine.idleSince : 0,
   };
 }
--- a/src/coordination/ownership/fencing-token-raiser.ts
+++ b/src/coordination/ownership/fencing-token-raiser.ts
@@ -62,7 +62,7 @@
     for (const machine of this.shard.machines.values()) {
       for (const attempt of machine.attempts.values()) {
         if (fencingTokenOf(attempt.number) < this.shard.fencingToken) continue;
-        if (attempt.isStartInFlight || !attempt.wasSent) continue;
+        if (attempt.isStartInFlight || !attempt.wasStartSent) continue;
         if (attempt.phase === 'starting') return true;
         if (attempt.phase === 'exited' && sinceRaiseMs >= RAISE_TO_FORGET_MS) return true;
       }
--- a/src/coordination/scheduling/eager-reissue.ts
+++ b/src/coordination/scheduling/eager-reissue.ts
@@ -54,7 +54,7 @@
   #monitoredMachines(): MonitoredMachine[] {
     const monitored: MonitoredMachine[] = [];
     for (const machine of this.shard.machines.values()) {
-      if (!machine.isUp || machine.isReturnRequested) continue;
+      if (!machine.isUp || machine.isReleaseRequested) continue;
       monitored.push({
         id: machine.id,
         zone: machine.record.zone,
--- a/src/coordination/scheduling/lease-expiry.ts
+++ b/src/coordination/scheduling/lease-expiry.ts
@@ -15,7 +15,7 @@
   /** Some controller relays leases, or has until now: any unresponsive worker may have been answered just now. */
   assumeAllRenewed(now: number): void {
     for (const machine of this.shard.machines.values()) {
-      if (machine.isUp) machine.assumeAnswered(now);
+      if (machine.isUp) machine.assumeHeartbeatAnswered(now);
     }
   }
 
--- a/src/coordination/scheduling/machine-retirement.ts
+++ b/src/coordination/scheduling/machine-retirement.ts
@@ -61,7 +61,7 @@
     for (const machine of this.shard.machines.values()) {
       if (machine.drainReason !== undefined) continue;
       const limits = {
-        bootDeadline: machine.knownSince + machine.type.bootS * late_boot_factor * 1000,
+        bootDeadline: machine.rentedSince + machine.type.bootS * late_boot_factor * 1000,
         giveUpAt: machine.leaseExpiresAt(leaseMs) + GIVE_UP_AFTER_LEASE_MS,
       };
       const reason = retirementReason(machine, limits, now);
--- a/src/coordination/shard/attempt-manager.ts
+++ b/src/coordination/shard/attempt-manager.ts
@@ -52,7 +52,10 @@
       return;
     }
     const number = attemptNumber(this.shard.fencingToken, this.shard.nextAttemptCounter());
-    const attempt = new Attempt({ job, task, number, isBoosted, wasSent: false }, describeTask(table.job));
+    const attempt = new Attempt(
+      { job, task, number, isBoosted, wasStartSent: false },
+      describeTask(table.job),
+    );
     machine.addAttempt(attempt);
     machine.touchImage(table.job.image, table.job.imageGb);
     table.issue(task, machine.id, attempt.key);
@@ -95,8 +98,8 @@
    * can't be raised while the key-value store is unavailable. Unanswered, the worker's lease and session end within the
    * bound on cancellations, and what may come late ends with them.
    */
-  mayStillStartEndedJob(machine: Machine, now: number): boolean {
-    return this.#endedJobAttempts.mayStillStartOn(machine, now);
+  hasUnconfirmedStartOfEndedJob(machine: Machine, now: number): boolean {
+    return this.#endedJobAttempts.hasUnconfirmedStartOn(machine, now);
   }
 
   /** Carries changes of a machine's attempts into the dispatch tables. */
--- a/src/coordination/shard/attempt.ts
+++ b/src/coordination/shard/attempt.ts
@@ -12,7 +12,7 @@
 const ATTEMPTS_PER_TOKEN = 2 ** 20;
 
 /** `starting`: a start has left, or is about to, and no message of the worker has shown the attempt yet. */
-export type Phase = 'starting' | AttemptPhase;
+export type TrackedPhase = 'starting' | AttemptPhase;
 
 /** What an attempt needs and for whom it runs, as far as its job is known. */
 export interface TaskDescription {
@@ -28,7 +28,7 @@
   readonly task: number;
   readonly number: number;
   readonly isBoosted: boolean;
-  readonly wasSent: boolean;
+  readonly wasStartSent: boolean;
 }
 
 /** What became of an attempt. */
@@ -82,7 +82,7 @@
   readonly imageGb: number;
   /** It was placed out of turn because its job had waited too long; it is not preempted for others. */
   readonly isBoosted: boolean;
-  #phase: Phase = 'starting';
+  #phase: TrackedPhase = 'starting';
   #exitCause: ExitCause | null = null;
   #runningSince: number | undefined;
   #wasSent: boolean;
@@ -100,10 +100,10 @@
     this.image = description.image;
     this.imageGb = description.imageGb;
     this.isBoosted = origin.isBoosted;
-    this.#wasSent = origin.wasSent;
+    this.#wasSent = origin.wasStartSent;
   }
 
-  get phase(): Phase {
+  get phase(): TrackedPhase {
     return this.#phase;
   }
 
@@ -116,7 +116,7 @@
   }
 
   /** A command that carries the start has been sent at least once. */
-  get wasSent(): boolean {
+  get wasStartSent(): boolean {
     return this.#wasSent;
   }
 
@@ -143,13 +143,13 @@
   }
 
   /** A command that carries the start leaves. */
-  startSent(): void {
+  startCommandSent(): void {
     this.#wasSent = true;
     this.#isStartInFlight = true;
   }
 
   /** The command that carries the start has ended, answered or not. */
-  startEnded(): void {
+  startCommandEnded(): void {
     this.#isStartInFlight = false;
   }
 
@@ -159,7 +159,7 @@
   }
 
   /** Its job is over. The first time counts. */
-  jobEnded(now: number): void {
+  markJobEnded(now: number): void {
     this.#jobEndedAt ??= now;
   }
 }
--- a/src/coordination/shard/command-dispatcher.ts
+++ b/src/coordination/shard/command-dispatcher.ts
@@ -88,7 +88,7 @@
 
   #send(machine: Machine, reason: SendReason): void {
     if (machine.record.address === '' || machine.isTerminated || !this.shard.entitled) return;
-    const unsent = [...machine.attempts.values()].filter((attempt) => !attempt.wasSent);
+    const unsent = [...machine.attempts.values()].filter((attempt) => !attempt.wasStartSent);
     this.#discardUnwanted(machine, unsent);
     // Commands to an unresponsive machine hold no starts: they would be stuck there.
     const startPolicy = machine.unresponsiveSince === undefined ? 'with starts' : 'without starts';
@@ -96,7 +96,7 @@
     if (commands.length === 0 && reason === 'pending') return;
     const startCount = commands.filter(({ op }) => op === 'start').length;
     const starts = unsent.filter(({ key }) => machine.attempts.has(key)).slice(0, startCount);
-    for (const attempt of starts) attempt.startSent();
+    for (const attempt of starts) attempt.startCommandSent();
     this.#inFlight.add(machine);
     const incarnation = machine.worker.addressedIncarnation;
     const request: CommandRequest = {
@@ -125,7 +125,7 @@
     void sendCommands(this.context.workers, request)
       .then((result) => {
         this.#inFlight.delete(machine);
-        this.#probes.ended(machine);
+        this.#probes.onCommandEnded(machine);
         if (this.shard.machines.get(machine.id) === machine && !machine.isTerminated) {
           this.#onResult(sent, result);
         }
@@ -138,7 +138,7 @@
   }
 
   #onResult(sent: SentCommand, result: CommandResult): void {
-    for (const attempt of sent.starts) attempt.startEnded();
+    for (const attempt of sent.starts) attempt.startCommandEnded();
     if (result.kind === 'done' || result.kind === 'refused') this.#onAnswered(sent, result);
     else this.#onUnanswered(sent, result.kind);
   }
@@ -170,7 +170,7 @@
     this.#noteUnconfirmedStarts(sent);
     this.context.log.debug({ machine: machine.id, result: kind }, 'command unanswered');
     // What was placed here meanwhile goes elsewhere: the machine may be hanging.
-    const unsent = [...machine.attempts.values()].filter((attempt) => !attempt.wasSent);
+    const unsent = [...machine.attempts.values()].filter((attempt) => !attempt.wasStartSent);
     this.#discardUnstarted(machine, unsent);
     this.shard.wake();
   }
--- a/src/coordination/shard/ended-job-attempts.ts
+++ b/src/coordination/shard/ended-job-attempts.ts
@@ -11,7 +11,7 @@
 
   /** The job of the attempt is over. */
   add(attempt: Attempt, machine: Machine, now: number): void {
-    attempt.jobEnded(now);
+    attempt.markJobEnded(now);
     this.#machines.set(attempt, machine);
   }
 
@@ -25,10 +25,10 @@
   }
 
   /** Whether an overdue one may still start on the machine. */
-  mayStillStartOn(machine: Machine, now: number): boolean {
+  hasUnconfirmedStartOn(machine: Machine, now: number): boolean {
     if (this.#machines.size === 0) return false;
     for (const [attempt, where] of this.overdue(now)) {
-      if (where === machine && machine.worker.mayStillStart(attempt)) return true;
+      if (where === machine && machine.worker.isStartUnconfirmed(attempt)) return true;
     }
     return false;
   }
--- a/src/coordination/shard/heartbeat-handler.ts
+++ b/src/coordination/shard/heartbeat-handler.ts
@@ -73,7 +73,7 @@
       return UNDECIDED;
     // It may be a copy from before this owner acquired the shard, held up for long: only the owner's token, or the answer
     // to a command, proves a message new.
-    const mayBeCopy = !machine.worker.isVerified && heartbeat.fencingToken < shard.fencingToken;
+    const mayBeCopy = !machine.worker.areHeartbeatsVerified && heartbeat.fencingToken < shard.fencingToken;
     return mayBeCopy ? this.#answerUnverified(machine, heartbeat) : this.#answerVerified(machine, heartbeat);
   }
 
@@ -92,7 +92,7 @@
     const isNews = machine.worker.isNewer(heartbeat);
     this.#reconciler.reconcile(machine, heartbeat);
     if (isNews) machine.worker.leaseRenewed(now);
-    if (this.#attempts.mayStillStartEndedJob(machine, now)) return UNDECIDED;
+    if (this.#attempts.hasUnconfirmedStartOfEndedJob(machine, now)) return UNDECIDED;
     const commands = commandsFor(machine, this.shard.tables, 'without starts');
     // Counted from now, which is later than when the worker sent the heartbeat: its own lease ends before ours of it.
     machine.worker.heartbeatAnswered(now);
--- a/src/coordination/shard/machine-attempts.ts
+++ b/src/coordination/shard/machine-attempts.ts
@@ -53,7 +53,7 @@
     { job, task, attempt: number }: ReportedAttempt,
     describe: (job: string) => TaskDescription,
   ): Attempt {
-    const attempt = new Attempt({ job, task, number, isBoosted: false, wasSent: true }, describe(job));
+    const attempt = new Attempt({ job, task, number, isBoosted: false, wasStartSent: true }, describe(job));
     this.add(attempt);
     return attempt;
   }
@@ -75,7 +75,7 @@
     // Attempts are never fewer than what is reported; where they are as many, none is missing from the report.
     if (this.#attempts.size === reportedKeys.size) return;
     for (const attempt of [...this.#attempts.values()]) {
-      if (reportedKeys.has(attempt.key) || this.worker.mayStillStart(attempt)) continue;
+      if (reportedKeys.has(attempt.key) || this.worker.isStartUnconfirmed(attempt)) continue;
       changes.push(this.#drop(attempt));
     }
   }
--- a/src/coordination/shard/machine-registration.ts
+++ b/src/coordination/shard/machine-registration.ts
@@ -144,13 +144,13 @@
     const machine = subject.kind === 'rental' ? this.shard.machines.get(id) : subject.machine;
     if (!machine) return;
     const now = this.context.clock.now();
-    machine.recordedUp(pending.address, now);
+    machine.markUp(pending.address, now);
     // It was rented for this shard and had no record until now, so no owner can have answered it: it holds nothing.
     if (subject.kind === 'rental') {
-      machine.worker.confirmNeverAnswered();
+      machine.worker.markNeverAnswered();
       this.shard.confirm(machine);
     }
-    const ageS = Math.round((now - machine.knownSince) / 1000);
+    const ageS = Math.round((now - machine.rentedSince) / 1000);
     const { type, record } = machine;
     this.context.log.info({ machine: id, type: type.name, zone: record.zone, ageS }, 'machine up');
   }
--- a/src/coordination/shard/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -21,7 +21,7 @@
   /** Since when this owner knows it, in steady time. The owner before it can have answered its worker until then. */
   readonly firstSeenAt: number;
   /** When it was rented, in steady time. */
-  readonly knownSince: number;
+  readonly rentedSince: number;
   readonly listener?: OccupancyListener;
 }
 
@@ -30,7 +30,7 @@
   readonly id: string;
   readonly record: MachineRecord;
   readonly type: MachineType;
-  readonly knownSince: number;
+  readonly rentedSince: number;
   /** What is known of its worker. */
   readonly worker: WorkerLiveness;
   /** Tasks that failed here since the last success. */
@@ -48,11 +48,11 @@
   #isTerminated = false;
   #backoffUntil = 0;
 
-  constructor({ id, record, type, firstSeenAt, knownSince, listener }: MachineOptions) {
+  constructor({ id, record, type, firstSeenAt, rentedSince: knownSince, listener }: MachineOptions) {
     this.id = id;
     this.record = record;
     this.type = type;
-    this.knownSince = knownSince;
+    this.rentedSince = knownSince;
     this.#isUp = record.up;
     this.#idleSince = firstSeenAt;
     // Before its first answer it is recorded as up; so one that isn't was never answered by the owners before this one.
@@ -105,8 +105,8 @@
   }
 
   /** Another controller may have answered its worker until now: its lease may have begun as late as that. */
-  assumeAnswered(now: number): void {
-    this.worker.assumeAnswered(now);
+  assumeHeartbeatAnswered(now: number): void {
+    this.worker.assumeHeartbeatAnswered(now);
   }
 
   // What is on it.
@@ -213,7 +213,7 @@
   }
 
   /** Its return was requested: it may disappear at any moment. */
-  get isReturnRequested(): boolean {
+  get isReleaseRequested(): boolean {
     return this.#isReturnRequested;
   }
 
@@ -239,7 +239,7 @@
   }
 
   /** It is recorded as up, at this address. */
-  recordedUp(address: string, now: number): void {
+  markUp(address: string, now: number): void {
     this.#isUp = true;
     this.record.address = address;
     this.#idleSince = now;
@@ -282,12 +282,12 @@
   }
 
   /** Its return is requested: it may disappear at any moment. */
-  requestReturn(): void {
+  markReleaseRequested(): void {
     this.#isReturnRequested = true;
   }
 
   /** The cloud confirmed its end. */
-  terminate(): void {
+  markTerminated(): void {
     this.#isTerminated = true;
   }
 }
--- a/src/coordination/shard/probe-queue.ts
+++ b/src/coordination/shard/probe-queue.ts
@@ -58,7 +58,7 @@
   }
 
   /** The machine's probe has ended, answered or not. */
-  ended(machine: Machine): void {
+  onCommandEnded(machine: Machine): void {
     this.#recent.delete(machine);
   }
 
--- a/src/coordination/shard/shard-owner.ts
+++ b/src/coordination/shard/shard-owner.ts
@@ -234,7 +234,7 @@
 
   /** The cloud confirmed that the machine, and all on it, is gone. */
   onMachineTerminated(machine: Machine): void {
-    machine.terminate();
+    machine.markTerminated();
     this.#commands.delete(machine);
     this.#attempts.dropAllAttempts(machine);
   }
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -190,7 +190,7 @@
       record,
       type,
       firstSeenAt: now,
-      knownSince: now - ageMs,
+      rentedSince: now - ageMs,
       listener: this.usage,
     });
     this.machines.set(id, machine);
--- a/src/coordination/shard/worker-commands.ts
+++ b/src/coordination/shard/worker-commands.ts
@@ -34,13 +34,13 @@
   tables: ReadonlyMap<string, DispatchTable>,
 ): WorkerCommand['op'] | undefined {
   if (attempt.phase === 'exited') {
-    return isSettled(attempt, tables) && machine.worker.mayForget(attempt) ? 'forget' : undefined;
+    return isSettled(attempt, tables) && machine.worker.isSafeToForget(attempt) ? 'forget' : undefined;
   }
   if (attempt.eviction) {
     const isSaving = attempt.phase === 'checkpointing' && attempt.eviction.graceS > 0;
-    return attempt.wasSent && !isSaving ? 'stop' : undefined;
+    return attempt.wasStartSent && !isSaving ? 'stop' : undefined;
   }
-  return attempt.wasSent ? undefined : 'start';
+  return attempt.wasStartSent ? undefined : 'start';
 }
 
 /** A completion is forgotten only once it is recorded: until then only the worker remembers it. */
--- a/src/coordination/shard/worker-liveness.ts
+++ b/src/coordination/shard/worker-liveness.ts
@@ -93,7 +93,7 @@
    * of it was verified proves its messages new like any other: otherwise a heartbeat that was held up would bring back
    * what ended with its session.
    */
-  get isVerified(): boolean {
+  get areHeartbeatsVerified(): boolean {
     return this.#isConfirmed && (this.#incarnation > 0 || this.#wasNeverAnswered);
   }
 
@@ -137,7 +137,7 @@
    * A start that was never answered may be carried out minutes later, while the worker's token and session still
    * match; so its absence from a heartbeat proves nothing before the worker has seen a higher token.
    */
-  mayStillStart(attempt: Attempt): boolean {
+  isStartUnconfirmed(attempt: Attempt): boolean {
     return (
       attempt.isStartInFlight ||
       (attempt.phase === 'starting' && this.#fencingTokenSeen <= fencingTokenOf(attempt.number))
@@ -148,7 +148,7 @@
    * After `forget` a late or repeated copy of the start would start the attempt anew: it must not be sent before the
    * worker refuses the token of that start.
    */
-  mayForget(attempt: Attempt): boolean {
+  isSafeToForget(attempt: Attempt): boolean {
     return (
       attempt.phase === 'exited' &&
       !attempt.isStartInFlight &&
@@ -163,7 +163,7 @@
     this.#incarnation = incarnation;
     // A session has a full lease from its beginning, which may be as late as now, though no heartbeat of it was ever
     // answered: counted from an earlier answer, its lease would seem expired while its tasks run.
-    this.assumeAnswered(now);
+    this.assumeHeartbeatAnswered(now);
     this.#lastRenewalAt = now;
   }
 
@@ -198,7 +198,7 @@
   }
 
   /** Another controller may have answered the worker until now: its lease may have begun as late as that. */
-  assumeAnswered(now: number): void {
+  assumeHeartbeatAnswered(now: number): void {
     this.#latestLeaseStart = Math.max(this.#latestLeaseStart, now);
   }
 
@@ -231,7 +231,7 @@
   }
 
   /** No owner can have answered it, so that its first heartbeat is no copy from before. */
-  confirmNeverAnswered(): void {
+  markNeverAnswered(): void {
     this.#wasNeverAnswered = true;
   }
 }
--- a/test/machine-records.test.ts
+++ b/test/machine-records.test.ts
@@ -150,7 +150,7 @@
   const upRecords = new MachineRegistration(shard, context);
   const record = { block: 0, address: '', type: 'm4', zone: 'a', spot: true, up: false, rentedAt: 0 };
   const machine = (id: string): Machine =>
-    new Machine({ id, record: { ...record }, type, firstSeenAt: 0, knownSince: 0 });
+    new Machine({ id, record: { ...record }, type, firstSeenAt: 0, rentedSince: 0 });
   // The first was returned, and its record deleted, between its report and its turn to be written.
   const answers = Promise.all(
     ['host-1', 'host-2'].map((id) => upRecords.register(machine(id), '10.1.0.1:1')),
--- a/test/machine.test.ts
+++ b/test/machine.test.ts
@@ -20,7 +20,7 @@
     up: true,
     rentedAt: 0,
   };
-  return new Machine({ id: 'host-1', record, type, firstSeenAt: now, knownSince: now });
+  return new Machine({ id: 'host-1', record, type, firstSeenAt: now, rentedSince: now });
 }
 
 const unknownJob = (): never => {
