--- a/src/coordination/ownership/owner-candidates.ts
+++ b/src/coordination/ownership/owner-candidates.ts
@@ -12,7 +12,7 @@
 }
 
 /** How many shards are assigned to each live controller. */
-export function shardsByController(context: ControllerContext): Map<string, number> {
+export function shardCountByController(context: ControllerContext): Map<string, number> {
   const { cache, settings } = context;
   const shardCounts = new Map(liveControllers(context).map((controller) => [controller, 0]));
   for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
--- a/src/coordination/ownership/shard-handover.ts
+++ b/src/coordination/ownership/shard-handover.ts
@@ -4,7 +4,7 @@
 import type { PeerReachability } from '../../suspicion/peer-reachability';
 import type { ControllerContext } from '../controller-context';
 import type { ShardOwner } from '../shard/shard-owner';
-import { ownerCandidates, shardsByController } from './owner-candidates';
+import { ownerCandidates, shardCountByController } from './owner-candidates';
 
 const DRAIN_POLL_MS = 20;
 /** How long commands in flight may hold up an orderly handover. */
@@ -42,7 +42,7 @@
   async handOverIfPlanned(owner: ShardOwner): Promise<void> {
     const { suspicion, log } = this.context;
     const { shard } = owner;
-    const candidates = suspicion ? ownerCandidates(this.context, shardsByController(this.context)) : [];
+    const candidates = suspicion ? ownerCandidates(this.context, shardCountByController(this.context)) : [];
     const planned = suspicion?.plannedHandover(shard, candidates);
     if (!planned || this.#record(shard)?.owner !== this.context.controllerId) return;
     const { successor, reason } = planned;
--- a/src/coordination/scheduling/eager-reissue.ts
+++ b/src/coordination/scheduling/eager-reissue.ts
@@ -41,12 +41,12 @@
   }
 
   #decide(now: number): EagerResult {
-    const { heartbeatTimeoutMs, unresponsiveReturnMs } = this.shard.timing;
+    const { heartbeatTimeoutMs, unresponsiveReleaseMs } = this.shard.timing;
     return chooseEagerCandidates({
       machines: this.#monitoredMachines(),
       now,
       heartbeatTimeoutMs,
-      returnAfterMs: unresponsiveReturnMs,
+      returnAfterMs: unresponsiveReleaseMs,
       shardBlockedMs: SHARD_BLOCKED_MS,
     });
   }
--- a/src/coordination/scheduling/waiting-jobs.ts
+++ b/src/coordination/scheduling/waiting-jobs.ts
@@ -8,7 +8,7 @@
   const areAllMachinesConfirmed = shard.areAllMachinesConfirmed;
   const waiting: WaitingJob[] = [];
   for (const table of shard.tables.values()) {
-    shard.updateUrgency(table);
+    shard.updatePriority(table);
     if (table.unassigned === 0 || !shard.areDependenciesDone(table) || table.retryAt > now) continue;
     // A task may still be on a machine that has sent nothing since we acquired the shard. Only a job that was accepted
     // after that can't be; what its team may use there is counted against its limit.
@@ -38,7 +38,8 @@
     runS,
     // However much that is smaller or more urgent comes in: the oldest get some room with a priority boost, for
     // otherwise a large job that is late would wait for as long as the surplus lasts.
-    isBoosted: shard.ageMs(table) > boostAfterMs && (!hasStarted || slackMs < 0) && !table.isJobSuspect,
+    isBoosted:
+      shard.waitedMs(table) > boostAfterMs && (!hasStarted || slackMs < 0) && !table.isJobLikelyFaulty,
     hasStarted,
     submittedAt: table.waitingSince,
   };
--- a/src/coordination/shard/completion-recorder.ts
+++ b/src/coordination/shard/completion-recorder.ts
@@ -116,7 +116,7 @@
       if (!isFinal && bitmapsLeft <= 0) break;
       const write = isFinal ? this.#finalWrite(table) : this.#bitmapWrite(table, bitmapsLeft);
       if (!batch.add(write)) break;
-      table.recordingBegins(now);
+      table.onWriteAttempt(now);
       if (!isFinal) bitmapsLeft -= write.changes.length;
     }
     return batch.writes;
@@ -126,7 +126,7 @@
   #unfinishedDue(unrecorded: readonly DispatchTable[], now: number): DispatchTable[] {
     if (now - this.#bitmapsAt < this.context.settings.operator.flush_ms) return [];
     const unfinished = unrecorded.filter((table) => table.remaining > 0);
-    unfinished.sort((a, b) => a.lastRecordedAt - b.lastRecordedAt);
+    unfinished.sort((a, b) => a.lastWriteAttemptAt - b.lastWriteAttemptAt);
     if (unfinished.length > 0) this.#bitmapsAt = now;
     return unfinished;
   }
--- a/src/coordination/shard/dispatch-table.ts
+++ b/src/coordination/shard/dispatch-table.ts
@@ -36,7 +36,7 @@
   #waitingSince: number;
   #isReady: boolean;
   #retryAt = 0;
-  #lastRecordedAt = -Infinity;
+  #lastWriteAttemptAt = -Infinity;
   #unassigned: number;
   /** No task below this one is unassigned. */
   #lowest = 0;
@@ -156,13 +156,13 @@
   // Its completion records.
 
   /** When its completions were last written, or were to be. */
-  get lastRecordedAt(): number {
-    return this.#lastRecordedAt;
+  get lastWriteAttemptAt(): number {
+    return this.#lastWriteAttemptAt;
   }
 
   /** Its completions are about to be written. */
-  recordingBegins(now: number): void {
-    this.#lastRecordedAt = now;
+  onWriteAttempt(now: number): void {
+    this.#lastWriteAttemptAt = now;
   }
 
   /** Takes in a completion record that the key-value store has. */
@@ -219,7 +219,7 @@
   }
 
   /** Whether failures of its tasks say nothing about the machines that they ran on. */
-  get isJobSuspect(): boolean {
-    return this.done === 0 && this.#failures.areJobsFault;
+  get isJobLikelyFaulty(): boolean {
+    return this.done === 0 && this.#failures.areOnManyMachines;
   }
 }
--- a/src/coordination/shard/job-failures.ts
+++ b/src/coordination/shard/job-failures.ts
@@ -40,7 +40,7 @@
   }
 
   /** Whether they were on so many machines that the job itself seems to be at fault, if it succeeded on none. */
-  get areJobsFault(): boolean {
+  get areOnManyMachines(): boolean {
     return this.#failedAt.size >= MACHINES_TO_BLAME_JOB;
   }
 
--- a/src/coordination/shard/job-timing.ts
+++ b/src/coordination/shard/job-timing.ts
@@ -14,7 +14,7 @@
   ) {}
 
   /** How long the job has waited for machines. */
-  ageMs(table: DispatchTable): number {
+  waitedMs(table: DispatchTable): number {
     return this.context.clock.date().getTime() - table.waitingSince;
   }
 
@@ -30,7 +30,7 @@
    * when there is none that it can still reach.
    */
   startSlackMs(table: DispatchTable): number | undefined {
-    const ageMs = this.ageMs(table);
+    const ageMs = this.waitedMs(table);
     let least: number | undefined;
     for (const { kind, class: jobClass, within_s } of this.context.settings.platform.deployment.objectives) {
       if (kind !== 'wait' || jobClass !== table.job.jobClass || within_s === undefined) continue;
--- a/src/coordination/shard/quarantine-policy.ts
+++ b/src/coordination/shard/quarantine-policy.ts
@@ -19,7 +19,7 @@
 
   /** A task of the table's job failed on the machine. */
   onTaskFailed(machine: Machine, table: DispatchTable): void {
-    if (table.isJobSuspect) return;
+    if (table.isJobLikelyFaulty) return;
     const { failures } = machine;
     failures.add(table.job.id);
     const succeedsElsewhere = table.done > 0;
--- a/src/coordination/shard/shard-owner.ts
+++ b/src/coordination/shard/shard-owner.ts
@@ -22,7 +22,7 @@
 import type { OwnerResponse } from './owner-response';
 import { RecordChangeHandler, type RecordChangeListener } from './record-change-handler';
 import { RoundLoop } from './round-loop';
-import { Shard, type ShardTenure } from './shard';
+import { Shard, type AcquiredShard } from './shard';
 
 const LEASE_EXPIRY_INTERVAL_MS = 250;
 
@@ -47,12 +47,12 @@
   readonly #stop = new AbortController();
 
   constructor(
-    tenure: ShardTenure,
+    acquired: AcquiredShard,
     private readonly context: ControllerContext,
   ) {
     const wake = new WakeSignal(context.clock);
     const completions = new WakeSignal(context.clock);
-    const shard = new Shard(tenure, context, () => {
+    const shard = new Shard(acquired, context, () => {
       wake.wake();
     });
     const attempts = new AttemptManager(shard, context, { commands: this.#commands, completions });
@@ -84,8 +84,8 @@
     });
     context.log.info(
       {
-        shard: tenure.number,
-        fencingToken: tenure.fencingToken,
+        shard: acquired.number,
+        fencingToken: acquired.fencingToken,
         jobs: shard.tables.size,
         machines: shard.machines.size,
       },
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -17,7 +17,7 @@
 const TRIES_MS = 2_000;
 
 /** Under what an owner holds its shard. */
-export interface ShardTenure {
+export interface AcquiredShard {
   /** The shard's number. */
   readonly number: number;
   readonly teams: readonly string[];
@@ -32,7 +32,7 @@
 /** Bounds on how long a shard's workers may be silent, in milliseconds. */
 interface WorkerTiming {
   readonly heartbeatTimeoutMs: number;
-  readonly unresponsiveReturnMs: number;
+  readonly unresponsiveReleaseMs: number;
   readonly leaseMs: number;
 }
 
@@ -58,24 +58,24 @@
   #attemptCounter = 0;
 
   constructor(
-    tenure: ShardTenure,
+    acquired: AcquiredShard,
     private readonly context: ControllerContext,
     /** There is work for a round. */
     readonly wake: () => void,
   ) {
-    this.number = tenure.number;
-    this.fencingToken = tenure.fencingToken;
-    this.leaseVersion = tenure.leaseVersion;
-    this.acquiredRevision = tenure.acquiredRevision;
+    this.number = acquired.number;
+    this.fencingToken = acquired.fencingToken;
+    this.leaseVersion = acquired.leaseVersion;
+    this.acquiredRevision = acquired.acquiredRevision;
     const { operator, platform } = context.settings;
     const { report_s, lease_s } = platform.deployment.workers;
     this.teams = new Map(
-      platform.deployment.teams.filter((t) => tenure.teams.includes(t.name)).map((t) => [t.name, t]),
+      platform.deployment.teams.filter((t) => acquired.teams.includes(t.name)).map((t) => [t.name, t]),
     );
     this.timing = {
       // A heartbeat may come a quarter late, and takes a while to get here.
       heartbeatTimeoutMs: operator.missed_reports * report_s * 1250 + 300,
-      unresponsiveReturnMs: (operator.silent_release_s ?? Math.max(4, 4 * report_s)) * 1000,
+      unresponsiveReleaseMs: (operator.silent_release_s ?? Math.max(4, 4 * report_s)) * 1000,
       leaseMs: lease_s * 1000,
     };
     this.#confirmation = new MachineConfirmation(context.clock.now(), report_s * 1250 + TRIES_MS);
@@ -146,13 +146,13 @@
   }
 
   /** Takes in what has become known of the jobs that depend on this one. */
-  updateUrgency(table: DispatchTable): void {
+  updatePriority(table: DispatchTable): void {
     table.setChainPriority(this.context.chainUrgency.of(table.job.id)?.priority);
   }
 
   /** How long the job has waited for machines. */
-  ageMs(table: DispatchTable): number {
-    return this.#jobTiming.ageMs(table);
+  waitedMs(table: DispatchTable): number {
+    return this.#jobTiming.waitedMs(table);
   }
 
   /** How long the job's tasks can still wait and be in time, as far as estimates tell. */
