--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -28,13 +28,13 @@
   }
 
   /** The worker of a machine without a record sends heartbeats: returns the record to write, which others then do. */
-  beginRecording(id: string): MachineRecord | undefined {
-    return this.#rentals.beginRecording(id);
+  beginRegistration(id: string): MachineRecord | undefined {
+    return this.#rentals.beginRegistration(id);
   }
 
   /** What became of a record that was begun. */
-  endRecording(id: string, outcome: RegistrationOutcome): void {
-    this.#rentals.endRecording(id, outcome);
+  endRegistration(id: string, outcome: RegistrationOutcome): void {
+    this.#rentals.endRegistration(id, outcome);
   }
 
   /** One step of returning machines; to be run in a loop of its own. */
@@ -48,7 +48,7 @@
   }
 
   /** One step of recording what was rented; to be run in a loop of its own. */
-  recordStep(signal: AbortSignal): Promise<void> {
+  recordRentalsStep(signal: AbortSignal): Promise<void> {
     return this.#rentals.step(signal);
   }
 }
--- a/src/coordination/autoscaling/cloud-inventory.ts
+++ b/src/coordination/autoscaling/cloud-inventory.ts
@@ -42,7 +42,7 @@
   }
 
   /** Whether the machine's record was deleted a short while ago, so that the list may name it though it is gone. */
-  isDeleted(id: string): boolean {
+  wasRecordDeletedRecently(id: string): boolean {
     return this.#recordDeletedAt.has(id);
   }
 
--- a/src/coordination/autoscaling/rental-recorder.ts
+++ b/src/coordination/autoscaling/rental-recorder.ts
@@ -73,7 +73,7 @@
   }
 
   /** The worker of a machine without a record sends heartbeats: returns the record to write, which others then do. */
-  beginRecording(id: string): MachineRecord | undefined {
+  beginRegistration(id: string): MachineRecord | undefined {
     const rental = this.#unrecorded.get(id);
     if (!rental) return undefined;
     rental.isUp = true;
@@ -81,7 +81,7 @@
   }
 
   /** What became of a record that was begun. */
-  endRecording(id: string, outcome: RegistrationOutcome): void {
+  endRegistration(id: string, outcome: RegistrationOutcome): void {
     const rental = this.#unrecorded.get(id);
     if (rental) rental.isUp = false;
     // With a conflict it was adopted from the cloud's list.
--- a/src/coordination/autoscaling/scaling-input.ts
+++ b/src/coordination/autoscaling/scaling-input.ts
@@ -31,7 +31,7 @@
     isBackedOff: source.isBackedOff,
     freeingCpus: fleet.freeingCpus,
     idleReleaseMs: idle_release_s * 1000,
-    mayAllStart: shard.areAllMachinesConfirmed,
+    areAllMachinesConfirmed: shard.areAllMachinesConfirmed,
     warmCpus: fleet.totalCpus * warm_share,
     freeCpus: fleet.freeCpus,
   };
--- a/src/coordination/autoscaling/scaling-plan.ts
+++ b/src/coordination/autoscaling/scaling-plan.ts
@@ -51,7 +51,7 @@
   /** How long a machine must have been idle to be returned. */
   readonly idleReleaseMs: number;
   /** Whether all that waits may be placed: before, idle machines are kept for it. */
-  readonly mayAllStart: boolean;
+  readonly areAllMachinesConfirmed: boolean;
   /** Idle CPUs to keep for work that should start at once. */
   readonly warmCpus: number;
   /** CPUs that are free on machines where tasks may start. */
@@ -91,7 +91,7 @@
 export function planScaling(input: ScalingInput): ScalingPlan {
   const planner = new ScaleOutPlanner(input);
   for (const work of input.unplaced) planner.place(work);
-  return { scaleOut: planner.requests(), scaleIn: input.mayAllStart ? chooseScaleIn(input) : [] };
+  return { scaleOut: planner.requests(), scaleIn: input.areAllMachinesConfirmed ? chooseScaleIn(input) : [] };
 }
 
 /** A machine that boots or is to be rented, with the room that is left there. */
--- a/src/coordination/ownership/machine-adoption.ts
+++ b/src/coordination/ownership/machine-adoption.ts
@@ -50,7 +50,7 @@
     return this.cloud
       .machines()
       .filter(({ state, ageS }) => state !== 'failed' && ageS > MIN_AGE_S)
-      .filter(({ id }) => !cache.get(KEY.machine(id)) && !this.cloud.isDeleted(id))
+      .filter(({ id }) => !cache.get(KEY.machine(id)) && !this.cloud.wasRecordDeletedRecently(id))
       .slice(0, changesAtOnce(settings.platform.deployment.state, MAX_ADOPTIONS));
   }
 
--- a/src/coordination/replies.ts
+++ b/src/coordination/replies.ts
@@ -18,7 +18,7 @@
 }
 
 /** The reply to a user's request that can't be decided at present: it should be repeated. */
-export function replyNotNow(): HttpReply {
+export function replyUnavailable(): HttpReply {
   return { status: 503, body: NOT_NOW, retryAfterS: RETRY_AFTER_S };
 }
 
@@ -47,7 +47,7 @@
     return { status: 503, body: { error: 'deferred', retryAfterS }, retryAfterS };
   }
   if (error !== undefined) log.debug({ err: describeError(error) }, 'a request could not be decided');
-  return replyNotNow();
+  return replyUnavailable();
 }
 
 /** Answers a request whose handler fails, at once or later, with the reply to its error. */
--- a/src/coordination/routes.ts
+++ b/src/coordination/routes.ts
@@ -6,7 +6,7 @@
 import type { HttpReply, HttpRequest, Route } from '../transport/http-server';
 import type { Controller } from './controller';
 import { findInfeasibility } from './feasibility';
-import { refuse, replyNotNow, replyToWorker, replyWithStatus, withErrorReplies } from './replies';
+import { refuse, replyUnavailable, replyToWorker, replyWithStatus, withErrorReplies } from './replies';
 
 /** A handler for each route. */
 class RequestHandlers {
@@ -38,7 +38,7 @@
     const { controller, log } = this;
     const { job } = submission;
     const { types, settings } = controller;
-    if (types.length === 0 || !controller.eventLoopDelay.allowsSubmissions) return replyNotNow();
+    if (types.length === 0 || !controller.eventLoopDelay.allowsSubmissions) return replyUnavailable();
     const infeasibility = findInfeasibility(job, types, settings.platform.deployment.teams);
     if (infeasibility !== undefined) return this.#statusOr(job.id, refuse(422, infeasibility));
     const { isNew, status } = await traceSubmission(job, () => controller.jobs.accept(job));
--- a/src/coordination/shard/heartbeat-handler.ts
+++ b/src/coordination/shard/heartbeat-handler.ts
@@ -59,10 +59,10 @@
   /** The first heartbeat of a machine whose rental is not recorded yet. */
   async #registerUnrecorded(heartbeat: WorkerHeartbeat): Promise<OwnerResponse> {
     const { machine: id, address } = heartbeat;
-    const record = this.#autoscaler.beginRecording(id);
+    const record = this.#autoscaler.beginRegistration(id);
     if (!record) return UNDECIDED;
     const outcome = await this.#registration.registerUnrecorded(id, address, record);
-    this.#autoscaler.endRecording(id, outcome);
+    this.#autoscaler.endRegistration(id, outcome);
     const machine = this.shard.machines.get(id);
     return machine && outcome === 'recorded' ? this.#answer(machine, heartbeat) : UNDECIDED;
   }
--- a/src/coordination/shard/shard-owner.ts
+++ b/src/coordination/shard/shard-owner.ts
@@ -102,7 +102,7 @@
     this.#loop('lease expiry', () => this.#leaseExpiryStep(signal));
     this.#loop('completion records', () => this.#recorder.step(signal));
     this.#loop('scale-out', () => this.#autoscaler.scaleOutStep(signal));
-    this.#loop('machine records', () => this.#autoscaler.recordStep(signal));
+    this.#loop('machine records', () => this.#autoscaler.recordRentalsStep(signal));
     this.#loop('scale-in', () => this.#autoscaler.scaleInStep(signal));
     this.#dispatcher.probe(this.context.clock.now());
     this.#wake.wake();
--- a/test/scaling-plan.test.ts
+++ b/test/scaling-plan.test.ts
@@ -45,7 +45,7 @@
     isBackedOff: () => false,
     freeingCpus: 2,
     idleReleaseMs: 20_000,
-    mayAllStart: true,
+    areAllMachinesConfirmed: true,
     warmCpus: 8,
     freeCpus: 12,
   };
--- a/test/state-limits-fall.test.ts
+++ b/test/state-limits-fall.test.ts
@@ -128,7 +128,10 @@
     clock: service.clock,
     session: { isValid: true, lease: 1 },
   } as unknown as ControllerContext;
-  const noMachines = { machines: () => [], isDeleted: () => false } as unknown as CloudInventory;
+  const noMachines = {
+    machines: () => [],
+    wasRecordDeletedRecently: () => false,
+  } as unknown as CloudInventory;
   return new Leader(context, noMachines, () => false);
 }
 
--- a/test/zone-constraints.test.ts
+++ b/test/zone-constraints.test.ts
@@ -81,7 +81,7 @@
     isBackedOff: () => false,
     freeingCpus: 0,
     idleReleaseMs: 20_000,
-    mayAllStart: true,
+    areAllMachinesConfirmed: true,
     warmCpus: 0,
     freeCpus: 0,
   };
