--- a/src/admission/admission-control.ts
+++ b/src/admission/admission-control.ts
@@ -103,7 +103,7 @@
     return true;
   }
 
-  accepted({ changes }: AdmissionTerms, revision: number): void {
+  onAccepted({ changes }: AdmissionTerms, revision: number): void {
     for (const change of changes) this.context.publish(eventOfChange(change, revision));
   }
 
--- a/src/bookkeeping/admission-policy.ts
+++ b/src/bookkeeping/admission-policy.ts
@@ -28,7 +28,7 @@
   /** Reads the records again that failed conditions of an acceptance show to be stale. True: the terms may have changed. */
   refresh(terms: AdmissionTerms, failedKeys: readonly string[]): Promise<boolean>;
   /** To be called when a job was accepted on these terms, by the transaction with this revision. */
-  accepted(terms: AdmissionTerms, revision: number): void;
+  onAccepted(terms: AdmissionTerms, revision: number): void;
 }
 
 const NO_TERMS: AdmissionTerms = { conditions: [], changes: [] };
@@ -38,5 +38,5 @@
   termsFor: () => Promise.resolve(NO_TERMS),
   allowsLookUp: () => Promise.resolve(true),
   refresh: () => Promise.resolve(false),
-  accepted: () => undefined,
+  onAccepted: () => undefined,
 };
--- a/src/bookkeeping/completion-records.ts
+++ b/src/bookkeeping/completion-records.ts
@@ -10,7 +10,7 @@
 import { KEY, PREFIX, read } from './records';
 
 /** Tasks of a chunk. Part of the stored format. */
-export const CHUNK_TASKS = 65_536;
+export const TASKS_PER_CHUNK = 65_536;
 /** Bytes of a value for the text around the bits. */
 const OVERHEAD_BYTES = 64;
 
@@ -56,7 +56,7 @@
   mayUseParts: boolean,
 ): CompletionLayout {
   const partTasks = tasksPerValue(valueBytes);
-  const chunksFit = Math.min(job.tasks, CHUNK_TASKS) <= partTasks;
+  const chunksFit = Math.min(job.tasks, TASKS_PER_CHUNK) <= partTasks;
   return chunksFit || !mayUseParts ? { kind: 'chunks' } : { kind: 'parts', partTasks };
 }
 
@@ -66,7 +66,7 @@
 }
 
 function tasksPerRecord(layout: CompletionLayout): number {
-  return layout.kind === 'chunks' ? CHUNK_TASKS : layout.partTasks;
+  return layout.kind === 'chunks' ? TASKS_PER_CHUNK : layout.partTasks;
 }
 
 function recordAt(job: RecordedJob, index: number, layout: CompletionLayout): CompletionRecord {
@@ -113,6 +113,6 @@
   const match = /^live\/(done|bits)\/([^/]+)\/(\d+)(-\d+)?$/.exec(key);
   const [, prefix, job, number] = match ?? [];
   if (bits === undefined || job === undefined) return undefined;
-  const first = Number(number) * (prefix === 'done' ? CHUNK_TASKS : 1);
+  const first = Number(number) * (prefix === 'done' ? TASKS_PER_CHUNK : 1);
   return { job, first, bits };
 }
--- a/src/bookkeeping/dependency-tracker.ts
+++ b/src/bookkeeping/dependency-tracker.ts
@@ -43,9 +43,9 @@
     cache.onChange((event) => {
       this.#onChange(event);
     });
-    finals.onLearned(({ id, state, endedAt }) => {
+    finals.onAdded(({ id, state, endedAt }) => {
       this.#unread.delete(id);
-      const ready = this.graph.settle(id, { state, endedAt });
+      const ready = this.graph.setOutcome(id, { state, endedAt });
       if (ready.length === 0) return;
       for (const listener of this.#readyListeners) listener(ready);
     });
@@ -62,7 +62,7 @@
   }
 
   /** Whether a dependency of the job is live in this controller's copy: no owner can have started the job before it. */
-  waitsForLiveJob(id: string): boolean {
+  hasLiveDependency(id: string): boolean {
     return this.graph.dependenciesOf(id).some((dependency) => this.cache.get(KEY.job(dependency)));
   }
 
@@ -131,8 +131,8 @@
   }
 
   #addDependency(id: string): void {
-    const known = this.finals.known(id);
-    if (known) this.graph.settle(id, known);
+    const known = this.finals.cached(id);
+    if (known) this.graph.setOutcome(id, known);
     else if (!this.cache.get(KEY.job(id))) this.#scheduleRead(id);
   }
 
--- a/src/bookkeeping/final-states.ts
+++ b/src/bookkeeping/final-states.ts
@@ -31,22 +31,22 @@
   ) {}
 
   /** Registers a listener that is called with each final state when this controller learns it. */
-  onLearned(listener: (status: FinalStatus) => void): void {
+  onAdded(listener: (status: FinalStatus) => void): void {
     this.#listeners.push(listener);
   }
 
   /** The final state of a job if it is cached. */
-  known(id: string): FinalStatus | undefined {
+  cached(id: string): FinalStatus | undefined {
     return this.#known.get(id);
   }
 
   /** The record of a final state; the previous version can't read the time of the end. */
   record(state: FinalState, done: number, endedAt: number): FinalRecord {
-    return this.formatGate.isOpen ? { state, done, endedAt } : { state, done };
+    return this.formatGate.isOpenForFormat2 ? { state, done, endedAt } : { state, done };
   }
 
   /** Caches a final state that the key-value store has acknowledged. */
-  learn(id: string, { state, done, endedAt }: FinalRecord): FinalStatus {
+  add(id: string, { state, done, endedAt }: FinalRecord): FinalStatus {
     const known = this.#known.get(id);
     if (known) return known;
     const status: FinalStatus = { id, state, done, running: 0, endedAt };
@@ -64,6 +64,6 @@
     const final = read.final(entry.value);
     // A job that has a record was accepted, even if the record is malformed.
     if (!final) throw new NoResponseError(`the final state of ${id} can't be read`, false);
-    return { status: this.learn(id, final), entry };
+    return { status: this.add(id, final), entry };
   }
 }
--- a/src/bookkeeping/format-gate.ts
+++ b/src/bookkeeping/format-gate.ts
@@ -37,7 +37,7 @@
 
   /** One step: writes this controller's mark, and logs the progress of the upgrade. To be run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
-    if (!this.#isMarked) this.#isMarked = await this.mark();
+    if (!this.#isMarked) this.#isMarked = await this.writeFormatRecord();
     this.#report();
     await this.context.clock.sleep(this.#isMarked ? CHECK_INTERVAL_MS : MARK_RETRY_MS, signal);
   }
@@ -52,36 +52,36 @@
     } else if (now - this.#reportedAt >= REPORT_INTERVAL_MS) {
       this.#reportedAt = now;
       this.context.log.info(
-        { format: RECORD_FORMAT, missing: this.missing() },
+        { format: RECORD_FORMAT, missing: this.controllersWithout() },
         'not all controllers are upgraded',
       );
     }
   }
 
   /** Whether every controller understands dependencies and records in parts. */
-  get isOpen(): boolean {
+  get isOpenForFormat2(): boolean {
     return this.isOpenFor(FORMAT.dependencies);
   }
 
   /** Whether every controller understands a format, as far as this controller's copy of the records shows. */
   isOpenFor(format: number): boolean {
     if (this.#openFor.has(format)) return true;
-    if (this.missing(format).length > 0) return false;
+    if (this.controllersWithout(format).length > 0) return false;
     this.#openFor.add(format);
     return true;
   }
 
   /** Controllers whose marks do not say that they understand a format. */
-  missing(format: number = RECORD_FORMAT): string[] {
+  controllersWithout(format: number = RECORD_FORMAT): string[] {
     return this.context.controllers.filter(
       (controller) => !understands(this.context.cache.get(KEY.format(controller))?.value, format),
     );
   }
 
   /** Like `isOpen`, but reads the marks from the key-value store: the copy may lag behind a mark just written. */
-  async confirmOpen(): Promise<boolean> {
-    if (this.isOpen) return true;
-    for (const controller of this.missing(FORMAT.dependencies)) {
+  async confirmOpenForFormat2(): Promise<boolean> {
+    if (this.isOpenForFormat2) return true;
+    for (const controller of this.controllersWithout(FORMAT.dependencies)) {
       const entry = await this.context.store.get(KEY.format(controller));
       if (!understands(entry?.value, FORMAT.dependencies)) return false;
     }
@@ -90,7 +90,7 @@
   }
 
   /** Writes this controller's mark, unless it is there. True: it is there now. */
-  async mark(): Promise<boolean> {
+  async writeFormatRecord(): Promise<boolean> {
     const key = KEY.format(this.context.controllerId);
     const entry = await this.context.store.get(key);
     if (understands(entry?.value, RECORD_FORMAT)) return true;
--- a/src/bookkeeping/job-acceptance.ts
+++ b/src/bookkeeping/job-acceptance.ts
@@ -55,11 +55,11 @@
 
   /** Accepts a job, or finds the one that was accepted before under this id. */
   async accept(job: Job): Promise<Acceptance> {
-    const known = this.context.finals.known(job.id);
+    const known = this.context.finals.cached(job.id);
     if (known) return { isNew: false, status: known };
     let checked: Job;
     try {
-      checked = await this.#dependencies.withUnfinished(job);
+      checked = await this.#dependencies.withoutDoneDependencies(job);
     } catch (error) {
       // An accepted job stays accepted, whatever a repeated submission names.
       const status = await this.find(job.id);
@@ -104,7 +104,7 @@
       const result = await this.#write(record, conditions, terms);
       if (result?.ok) {
         publish(eventOfChange({ put: KEY.job(record.job.id), value: record }, result.revision));
-        admission.accepted(terms, result.revision);
+        admission.onAccepted(terms, result.revision);
         return true;
       }
       if (!result || !(await admission.refresh(terms, result.failed))) return false;
--- a/src/bookkeeping/job-graph.ts
+++ b/src/bookkeeping/job-graph.ts
@@ -122,7 +122,7 @@
   }
 
   /** Sets the outcome of a dependency, as the key-value store has it. Returns the jobs that are ready from now on. */
-  settle(job: string, outcome: DependencyOutcome): string[] {
+  setOutcome(job: string, outcome: DependencyOutcome): string[] {
     const dependents = this.#dependents.get(job);
     if (!dependents || this.#outcomes.has(job)) return [];
     this.#outcomes.set(job, outcome);
--- a/src/bookkeeping/job-store.ts
+++ b/src/bookkeeping/job-store.ts
@@ -30,7 +30,7 @@
 
   /** The job's present state, as the key-value store has it. Undefined: it was never accepted. */
   async find(id: string): Promise<JobStatus | undefined> {
-    const known = this.context.finals.known(id);
+    const known = this.context.finals.cached(id);
     if (known) return known;
     // In this order: a job that ends between the two reads is found by the second.
     const live = await this.context.store.get(KEY.job(id));
@@ -78,13 +78,13 @@
   }
 
   /** Caches a final state that the key-value store has acknowledged. */
-  learnFinal(id: string, final: FinalRecord): JobStatus {
-    return this.context.finals.learn(id, final);
+  cacheFinalState(id: string, final: FinalRecord): JobStatus {
+    return this.context.finals.add(id, final);
   }
 
   /** Cancels a job unless it is done. Undefined: it was never accepted. */
   async cancel(id: string, doneSoFar: number): Promise<JobStatus | undefined> {
-    const known = this.context.finals.known(id);
+    const known = this.context.finals.cached(id);
     if (known) return known;
     for (;;) {
       const live = await this.context.store.get(KEY.job(id));
@@ -99,7 +99,7 @@
 
   /** To be called when a cancellation was acknowledged with this revision; returns the job's final state. */
   onCancelled({ id, final }: Cancellation, revision: number): JobStatus {
-    const status = this.learnFinal(id, final);
+    const status = this.cacheFinalState(id, final);
     this.#publishEnd(id, revision);
     return status;
   }
--- a/src/bookkeeping/records.ts
+++ b/src/bookkeeping/records.ts
@@ -11,7 +11,7 @@
  * The prefix of all records that concern live jobs, shards, machines and controllers, which every controller watches.
  * Final states lie apart and are read on demand, so that a controller's copy stays small.
  */
-export const LIVE = 'live/';
+export const LIVE_PREFIX = 'live/';
 
 /** Record formats by what they introduced (docs/UPGRADE.md). Format 1 left no mark and has none of it. */
 export const FORMAT = {
--- a/src/bookkeeping/session.ts
+++ b/src/bookkeeping/session.ts
@@ -6,7 +6,7 @@
 import type { WatchCache } from './watch-cache';
 
 /** Largest relative drift of one controller's steady clock against another's; each drifts by up to 0.05%. */
-export const DRIFT = 0.001;
+export const MAX_CLOCK_DRIFT = 0.001;
 /** How long before the expiry of its lease a controller stops acting, because messages may still be in flight. */
 const STOP_MARGIN_MS = 400;
 const RENEWALS_PER_LEASE = 6;
@@ -52,7 +52,7 @@
     // The lease is counted from when the renewal was sent. A copy of the records that is older than the lease could miss
     // a cancellation, so it bounds the controller's right to act just the same.
     const base = Math.min(this.#renewedAt, cache.freshAt);
-    return base + ttlMs * (1 - DRIFT) - STOP_MARGIN_MS;
+    return base + ttlMs * (1 - MAX_CLOCK_DRIFT) - STOP_MARGIN_MS;
   }
 
   /** Whether the controller may act by its lease in the key-value store alone, without an extension by its peers. */
--- a/src/bookkeeping/submitted-dependencies.ts
+++ b/src/bookkeeping/submitted-dependencies.ts
@@ -35,11 +35,11 @@
    * The job with those of its dependencies that aren't done yet: what is done stays done. Throws where one was never
    * accepted, or where that can't be determined now.
    */
-  async withUnfinished(job: Job): Promise<Job> {
+  async withoutDoneDependencies(job: Job): Promise<Job> {
     const { dependencies, ...rest } = job;
     if (!dependencies) return job;
     // Only the key-value store itself proves that every version that may start tasks understands dependencies.
-    if (!(await this.context.formatGate.confirmOpen())) {
+    if (!(await this.context.formatGate.confirmOpenForFormat2())) {
       throw new NoResponseError('not all controllers understand dependencies yet', false);
     }
     const unfinished: string[] = [];
@@ -58,7 +58,7 @@
   async #isDone(id: string, dependent: string): Promise<boolean> {
     const { finals, cache, store } = this.context;
     if (id === dependent) throw new UnknownDependencyError(id);
-    const known = finals.known(id);
+    const known = finals.cached(id);
     if (known) return known.state === 'done';
     if (cache.get(KEY.job(id))) return false;
     const live = await store.get(KEY.job(id));
--- a/src/coordination/controller-services.ts
+++ b/src/coordination/controller-services.ts
@@ -14,7 +14,7 @@
 import { FormatGate } from '../bookkeeping/format-gate';
 import { JobGraph } from '../bookkeeping/job-graph';
 import { JobStore, type JobStoreContext } from '../bookkeeping/job-store';
-import { LIVE } from '../bookkeeping/records';
+import { LIVE_PREFIX } from '../bookkeeping/records';
 import { Session } from '../bookkeeping/session';
 import { WatchCache } from '../bookkeeping/watch-cache';
 import { Cloud } from '../protocol/cloud';
@@ -73,7 +73,7 @@
 ): WatchCache {
   return new WatchCache({
     store,
-    prefix: LIVE,
+    prefix: LIVE_PREFIX,
     clock,
     waitMs: shardLeaseMs / WATCHES_PER_LEASE,
     minWatchIntervalMs: throttling.watchPaceMs,
--- a/src/coordination/machine-types.ts
+++ b/src/coordination/machine-types.ts
@@ -55,7 +55,7 @@
       await storeTypes(types, cache, store, {
         valueBytes: valueBytes(state),
         changes: changesAtOnce(state),
-        mayUseParts: formatGate.isOpen,
+        mayUseParts: formatGate.isOpenForFormat2,
       });
       onRefreshed();
     }
--- a/src/coordination/ownership/lease-extension.ts
+++ b/src/coordination/ownership/lease-extension.ts
@@ -1,7 +1,7 @@
 /** @file Extension of a shard owner's lease by its peers during an outage of the key-value store. */
 import { LEASE_EXTENSION_MS } from '../../base/settings';
 import { KEY, PREFIX, read } from '../../bookkeeping/records';
-import { DRIFT } from '../../bookkeeping/session';
+import { MAX_CLOCK_DRIFT } from '../../bookkeeping/session';
 import { shardCount } from '../../bookkeeping/shard-count';
 import type { LeaseExtensionGrant, LeaseExtensionRequest, PeerMessage } from '../../protocol/peers';
 import type { ControllerContext } from '../controller-context';
@@ -39,7 +39,7 @@
     startedAt: number,
   ) {
     // The previous process of this controller may have granted a request, of which this one knows nothing.
-    this.#boundUntil = startedAt + LEASE_EXTENSION_MS * (1 + DRIFT);
+    this.#boundUntil = startedAt + LEASE_EXTENSION_MS * (1 + MAX_CLOCK_DRIFT);
   }
 
   /** Whether no grant given by this controller forbids it to acquire a shard. */
@@ -79,7 +79,7 @@
     // acts by grants. If this controller no longer remembers all of them, it must not grant.
     const ended = cache.deletedSince(PREFIX.job, request.revision);
     if (!ended) return;
-    this.#boundUntil = Math.max(this.#boundUntil, clock.now() + LEASE_EXTENSION_MS * (1 + DRIFT));
+    this.#boundUntil = Math.max(this.#boundUntil, clock.now() + LEASE_EXTENSION_MS * (1 + MAX_CLOCK_DRIFT));
     const grant: LeaseExtensionGrant = {
       from: controllerId,
       to: request.from,
@@ -111,7 +111,7 @@
     const { others } = this.context.settings.platform;
     // Counted from when the request was sent, which is before any peer can have granted it.
     const oldest = Math.min(...others.map(({ node }) => this.#grantedRequestAt.get(node) ?? -Infinity));
-    return oldest + LEASE_EXTENSION_MS * (1 - DRIFT) - SAFETY_MARGIN_MS;
+    return oldest + LEASE_EXTENSION_MS * (1 - MAX_CLOCK_DRIFT) - SAFETY_MARGIN_MS;
   }
 
   /** Whether a shard assigned to the controller is leased by another, which the controller may be unable to see. */
--- a/src/coordination/ownership/owner-candidates.ts
+++ b/src/coordination/ownership/owner-candidates.ts
@@ -28,7 +28,7 @@
   context: ControllerContext,
   shardCounts: ReadonlyMap<string, number>,
 ): OwnerCandidate[] {
-  const missing = context.formatGate.missing();
+  const missing = context.formatGate.controllersWithout();
   return [...shardCounts].map(([controller, count]) => ({
     controller,
     shards: count,
--- a/src/coordination/shard/completion-recorder.ts
+++ b/src/coordination/shard/completion-recorder.ts
@@ -173,7 +173,7 @@
     const { state } = this.context.settings.platform.deployment;
     const bytes = valueBytes(state);
     const fitting = Math.max(1, Math.floor(MAX_VALUE_BYTES / bytes));
-    const layout = completionLayout(job, bytes, this.context.formatGate.isOpen);
+    const layout = completionLayout(job, bytes, this.context.formatGate.isOpenForFormat2);
     const recordCount = Math.min(changesAtOnce(state, maxRecords), fitting);
     const groups = groupByRecord(job, table.unrecorded, layout).slice(0, recordCount);
     const conditions: Condition[] = [{ key: KEY.job(job.id), version: table.version }];
@@ -216,7 +216,7 @@
       return;
     }
     const { id } = table.job;
-    this.context.jobs.learnFinal(id, final);
+    this.context.jobs.cacheFinalState(id, final);
     this.context.log.info({ job: id, tasks: table.job.tasks }, 'job done');
     this.context.publish({ key: KEY.job(id), version: revision, deleted: true });
     this.shard.closeJob(id);
--- a/src/coordination/shard/team-usage.ts
+++ b/src/coordination/shard/team-usage.ts
@@ -59,7 +59,7 @@
     if (version > shard.acquiredRevision) continue;
     // No owner can have started a job while another that it needs was live, and our view is newer than what any owner
     // before us acted on.
-    if (context.dependencies.waitsForLiveJob(job.id)) continue;
+    if (context.dependencies.hasLiveDependency(job.id)) continue;
     const sum = bounds.get(job.team) ?? NOTHING;
     bounds.set(job.team, {
       cpus: sum.cpus + unassigned * job.cpus,
--- a/src/coordination/shard/worker-liveness.ts
+++ b/src/coordination/shard/worker-liveness.ts
@@ -1,7 +1,7 @@
 /**
  * @file What is known of the worker on one machine: its incarnation, its lease, and what its messages prove.
  */
-import { DRIFT } from '../../bookkeeping/session';
+import { MAX_CLOCK_DRIFT } from '../../bookkeeping/session';
 import type { WorkerHeartbeat } from '../../protocol/model';
 import { fencingTokenOf, type Attempt } from './attempt';
 
@@ -107,7 +107,7 @@
 
   /** From this time on the worker has killed and forgotten all that it had. */
   leaseExpiresAt(leaseMs: number): number {
-    return this.#latestLeaseStart + leaseMs * (1 + 2 * DRIFT) + LEASE_EXPIRY_MARGIN_MS;
+    return this.#latestLeaseStart + leaseMs * (1 + 2 * MAX_CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_MS;
   }
 
   /** Whether its heartbeats have been missing for so long; counted from when the machine became known, if none came. */
--- a/test/cancellation-bound.test.ts
+++ b/test/cancellation-bound.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { makeSettings, LEASE_EXTENSION_MS } from '../src/base/settings';
-import { DRIFT } from '../src/bookkeeping/session';
+import { MAX_CLOCK_DRIFT } from '../src/bookkeeping/session';
 import type { ControllerContext } from '../src/coordination/controller-context';
 import { LeaseRelay } from '../src/coordination/ownership/lease-relay';
 import { FixedTimeout } from '../src/suspicion/peer-liveness';
@@ -231,7 +231,7 @@
     [5, 11],
   ] as const) {
     const { shardLeaseMs, cancellationUncertaintyMs } = makeSettings(platform(lease, cancel), {});
-    const leaseMs = lease * 1000 * (1 + 2 * DRIFT);
+    const leaseMs = lease * 1000 * (1 + 2 * MAX_CLOCK_DRIFT);
     assert.ok(cancellationUncertaintyMs >= 2_500);
     // Until it has heard, an owner acts by its lease or by a promise.
     const hearingMs = Math.max(shardLeaseMs, LEASE_EXTENSION_MS);
--- a/test/format-gate.test.ts
+++ b/test/format-gate.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { createLog } from '../src/base/log';
 import { FormatGate } from '../src/bookkeeping/format-gate';
-import { FORMAT, KEY, LIVE, RECORD_FORMAT } from '../src/bookkeeping/records';
+import { FORMAT, KEY, LIVE_PREFIX, RECORD_FORMAT } from '../src/bookkeeping/records';
 import { WatchCache } from '../src/bookkeeping/watch-cache';
 import { HttpKeyValueStore } from '../src/protocol/http-key-value-store';
 import { StoreRejectedError } from '../src/protocol/key-value-store';
@@ -33,7 +33,7 @@
   async gate(node: string): Promise<FormatGate> {
     const cache = new WatchCache({
       store: this.store,
-      prefix: LIVE,
+      prefix: LIVE_PREFIX,
       clock: this.#clock,
       waitMs: 0,
       minWatchIntervalMs: 0,
@@ -59,64 +59,64 @@
   const deployment = new Deployment();
   const early = await deployment.gate('node-0');
   for (const [count, node] of CONTROLLERS.entries()) {
-    assert.equal(await early.confirmOpen(), false, `${count} marks`);
-    assert.equal(await (await deployment.gate(node)).mark(), true);
+    assert.equal(await early.confirmOpenForFormat2(), false, `${count} marks`);
+    assert.equal(await (await deployment.gate(node)).writeFormatRecord(), true);
   }
-  assert.equal(early.isOpen, false);
-  assert.deepEqual(early.missing(), CONTROLLERS);
-  assert.equal(await early.confirmOpen(), true);
-  assert.equal(early.isOpen, true);
-  assert.equal((await deployment.gate('node-1')).isOpen, true);
+  assert.equal(early.isOpenForFormat2, false);
+  assert.deepEqual(early.controllersWithout(), CONTROLLERS);
+  assert.equal(await early.confirmOpenForFormat2(), true);
+  assert.equal(early.isOpenForFormat2, true);
+  assert.equal((await deployment.gate('node-1')).isOpenForFormat2, true);
 });
 
 test('a gate that was seen open stays open, whatever becomes of the marks or the state service', async () => {
   const deployment = new Deployment();
-  for (const node of CONTROLLERS) await (await deployment.gate(node)).mark();
+  for (const node of CONTROLLERS) await (await deployment.gate(node)).writeFormatRecord();
   const gate = await deployment.gate('node-0');
-  assert.equal(gate.isOpen, true);
+  assert.equal(gate.isOpenForFormat2, true);
   await deployment.store.compareAndSwap([], [{ delete: KEY.format('node-2') }]);
   deployment.service.outage(true);
-  assert.equal(gate.isOpen, true);
-  assert.equal(await gate.confirmOpen(), true);
+  assert.equal(gate.isOpenForFormat2, true);
+  assert.equal(await gate.confirmOpenForFormat2(), true);
 });
 
 test('without an answer from the state service the gate is not taken for open', async () => {
   const deployment = new Deployment();
-  for (const node of CONTROLLERS.slice(1)) await (await deployment.gate(node)).mark();
+  for (const node of CONTROLLERS.slice(1)) await (await deployment.gate(node)).writeFormatRecord();
   const gate = await deployment.gate('node-0');
   deployment.service.outage(true);
-  await assert.rejects(gate.confirmOpen(), StoreRejectedError);
-  await assert.rejects(gate.mark(), StoreRejectedError);
-  assert.equal(gate.isOpen, false);
+  await assert.rejects(gate.confirmOpenForFormat2(), StoreRejectedError);
+  await assert.rejects(gate.writeFormatRecord(), StoreRejectedError);
+  assert.equal(gate.isOpenForFormat2, false);
 });
 
 test('marks of an older format, or unreadable ones, do not count, and are replaced by their own controller', async () => {
   for (const value of [{ format: FORMAT.dependencies - 1 }, { format: 'new' }, {}, null, 'x']) {
     const deployment = new Deployment();
-    for (const node of CONTROLLERS.slice(1)) await (await deployment.gate(node)).mark();
+    for (const node of CONTROLLERS.slice(1)) await (await deployment.gate(node)).writeFormatRecord();
     await deployment.put('node-0', value);
     const gate = await deployment.gate('node-0');
-    assert.deepEqual(gate.missing(), ['node-0'], JSON.stringify(value));
-    assert.equal(await gate.confirmOpen(), false);
-    assert.equal(await gate.mark(), true);
-    assert.equal(await gate.confirmOpen(), true);
+    assert.deepEqual(gate.controllersWithout(), ['node-0'], JSON.stringify(value));
+    assert.equal(await gate.confirmOpenForFormat2(), false);
+    assert.equal(await gate.writeFormatRecord(), true);
+    assert.equal(await gate.confirmOpenForFormat2(), true);
   }
 });
 
 test('each format has a gate of its own: a mark counts for its format and those before, and is raised later', async () => {
   const deployment = new Deployment();
-  for (const node of CONTROLLERS.slice(1)) await (await deployment.gate(node)).mark();
+  for (const node of CONTROLLERS.slice(1)) await (await deployment.gate(node)).writeFormatRecord();
   await deployment.put('node-0', { format: FORMAT.dependencies });
   const gate = await deployment.gate('node-0');
   assert.equal(
-    gate.isOpen,
+    gate.isOpenForFormat2,
     true,
     'dependencies are not refused while controllers go from one version to the next',
   );
   assert.equal(gate.isOpenFor(FORMAT.admission), false);
-  assert.deepEqual(gate.missing(), ['node-0']);
-  assert.deepEqual(gate.missing(FORMAT.dependencies), []);
-  assert.equal(await gate.mark(), true);
+  assert.deepEqual(gate.controllersWithout(), ['node-0']);
+  assert.deepEqual(gate.controllersWithout(FORMAT.dependencies), []);
+  assert.equal(await gate.writeFormatRecord(), true);
   assert.deepEqual(deployment.service.data.get(KEY.format('node-0'))?.data, { format: RECORD_FORMAT });
   const later = await deployment.gate('node-1');
   assert.equal(later.isOpenFor(FORMAT.admission), true);
@@ -127,7 +127,7 @@
   const newer = { format: RECORD_FORMAT + 1 };
   await deployment.put('node-0', newer);
   const gate = await deployment.gate('node-0');
-  assert.equal(await gate.mark(), true);
+  assert.equal(await gate.writeFormatRecord(), true);
   assert.deepEqual(deployment.service.data.get(KEY.format('node-0'))?.data, newer);
-  assert.deepEqual(gate.missing(), ['node-1', 'node-2']);
+  assert.deepEqual(gate.controllersWithout(), ['node-1', 'node-2']);
 });
--- a/test/jobs.test.ts
+++ b/test/jobs.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Bitmap } from '../src/bookkeeping/bitmap';
-import { CHUNK_TASKS } from '../src/bookkeeping/completion-records';
+import { TASKS_PER_CHUNK } from '../src/bookkeeping/completion-records';
 import { SimulatedCluster } from './fakes/simulated-cluster';
 import { submission } from './fakes/submission';
 
@@ -122,8 +122,8 @@
   for (let task = 0; task < 100_000; task += 1) if (task % 3 !== 0) bitmap.set(task);
   assert.equal(bitmap.set(1), false);
   const copy = new Bitmap(100_000);
-  for (let first = 0; first < 100_000; first += CHUNK_TASKS) {
-    const text = bitmap.encode(first, first + CHUNK_TASKS);
+  for (let first = 0; first < 100_000; first += TASKS_PER_CHUNK) {
+    const text = bitmap.encode(first, first + TASKS_PER_CHUNK);
     assert.ok(JSON.stringify({ bits: text }).length <= 16 * 1024);
     copy.merge(first, text);
   }
--- a/test/state-limits-fall.test.ts
+++ b/test/state-limits-fall.test.ts
@@ -31,7 +31,7 @@
   private constructor(
     readonly service: Service,
     cache: WatchCache,
-    isOpen: boolean,
+    isOpenForFormat2: boolean,
     next: unknown,
   ) {
     this.cache = cache;
@@ -42,7 +42,7 @@
       log: quiet,
       store: service.store,
       cache,
-      formatGate: { isOpen },
+      formatGate: { isOpenForFormat2 },
       session: { isValid: true },
       jobs: {
         rememberFinal: () => undefined,
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -4,7 +4,7 @@
 import { changesAtOnce, limitsInForce, readNextLimits, valueBytes } from '../src/base/state-limits';
 import { Bitmap } from '../src/bookkeeping/bitmap';
 import {
-  CHUNK_TASKS,
+  TASKS_PER_CHUNK,
   completionLayout,
   completionRecord,
   groupByRecord,
@@ -117,7 +117,7 @@
 
 test('what is no completion record is not taken for one', () => {
   const value = { bits: '/w==' };
-  assert.deepEqual(readCompletions('live/done/req-1/1', value)?.first, CHUNK_TASKS);
+  assert.deepEqual(readCompletions('live/done/req-1/1', value)?.first, TASKS_PER_CHUNK);
   assert.deepEqual(readCompletions('live/bits/req-1/800-1600', value)?.first, 800);
   for (const key of ['live/done/req-1/x', 'live/done/req-1', 'live/bits/req-1/', 'live/job/req-1'])
     assert.equal(readCompletions(key, value), undefined, key);
--- a/test/suspicion-messages.test.ts
+++ b/test/suspicion-messages.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RateLimit } from '../src/transport/rate-limit';
-import { LIVE } from '../src/bookkeeping/records';
+import { LIVE_PREFIX } from '../src/bookkeeping/records';
 import { WatchCache } from '../src/bookkeeping/watch-cache';
 import type { PeerView } from '../src/protocol/peer-view';
 import { readPeerMessage, writePeerMessage, type PeerHeartbeat } from '../src/protocol/peers';
@@ -79,7 +79,7 @@
       writes: limit,
       timeoutMs: 1_000,
     }),
-    prefix: LIVE,
+    prefix: LIVE_PREFIX,
     clock,
     waitMs: 1_000,
     minWatchIntervalMs: 100,
