--- a/src/bookkeeping/admission-policy.ts
+++ b/src/bookkeeping/admission-policy.ts
@@ -1,33 +1,33 @@
-/** @file The policy that decides which jobs may be accepted at present. */
+/** @file The interface of admission control, which decides which jobs are accepted at present. */
 import type { Job } from '../protocol/model';
 import type { Change, Condition } from '../protocol/key-value-store';
 
-/** A submission that is not accepted now, and when to submit it again. */
+/** A submission that admission control defers, and the time after which to submit it again. */
 export class SubmissionDeferredError extends Error {
   override name = 'SubmissionDeferredError';
   constructor(
     readonly job: string,
     readonly retryAfterS: number,
   ) {
-    super(`${job} is deferred`);
+    super(`the submission of ${job} is deferred`);
   }
 }
 
-/** The conditions and changes that the transaction that accepts a job has to hold besides the job itself. */
+/** The conditions and changes that admission control adds to the transaction that accepts a job. */
 export interface AdmissionTerms {
   readonly conditions: readonly Condition[];
   readonly changes: readonly Change[];
 }
 
-/** Decides which jobs may be accepted at present. */
+/** Decides which jobs are accepted at present. */
 export interface AdmissionPolicy {
-  /** The terms of a job's acceptance. Throws `SubmissionDeferredError` where it has to wait. */
+  /** The terms of a job's acceptance. Throws `SubmissionDeferredError` if the submission is deferred. */
   termsFor(job: Job): Promise<AdmissionTerms>;
-  /** Whether a request may be spent on reading if a job that is deferred was accepted before. */
+  /** Takes a token for a read of whether a deferred job was accepted before. False: the rate limit forbids the read. */
   allowsLookUp(): Promise<boolean>;
-  /** Reads the records again that failed conditions of an acceptance show to be stale. True: the terms may have changed. */
+  /** Reads the records of the terms again whose conditions failed. True: there were some, so the terms may have changed. */
   refresh(terms: AdmissionTerms, failedKeys: readonly string[]): Promise<boolean>;
-  /** To be called when a job was accepted on these terms, by the transaction with this revision. */
+  /** Called after the transaction with this revision has accepted a job on these terms. */
   onAccepted(terms: AdmissionTerms, revision: number): void;
 }
 
--- a/src/bookkeeping/bitmap.ts
+++ b/src/bookkeeping/bitmap.ts
@@ -28,19 +28,19 @@
   }
 
   /**
-   * The bits from `first`, a multiple of 8, up to `end`, not included, as base64 text. Those of `more` are set in the
-   * text too, but not in this bitmap.
+   * The bits from `first`, a multiple of 8, to `end` (exclusive) as base64 text. The bits in `additional` are also set in
+   * the text, but not in this bitmap.
    */
-  encode(first: number, end: number, more: readonly number[] = []): string {
+  encode(first: number, end: number, additional: readonly number[] = []): string {
     const bytes = Buffer.from(this.#bits.subarray(first / 8, Math.ceil(end / 8)));
-    for (const index of more) {
+    for (const index of additional) {
       const byte = (index - first) >> 3;
       bytes[byte] = (bytes[byte] ?? 0) | (1 << (index & 7));
     }
     return bytes.toString('base64');
   }
 
-  /** Sets the bits of an encoded text whose first bit is `first`; returns the tasks whose bits were not set before. */
+  /** Sets the bits encoded in a text that starts at bit `first`; returns the tasks whose bits were not set before. */
   merge(first: number, text: string): number[] {
     const bytes = Buffer.from(text, 'base64');
     const added: number[] = [];
--- a/src/bookkeeping/completion-records.ts
+++ b/src/bookkeeping/completion-records.ts
@@ -1,36 +1,36 @@
 /**
  * @file The records that hold a job's completions. There are two layouts:
  *
- * - chunks, `live/done/JOB/CHUNK`, of 65,536 tasks each: the only one that format 1 has;
+ * - chunks, `live/done/JOB/CHUNK`, of 65,536 tasks each: the only layout in record format 1;
  * - parts, `live/bits/JOB/FIRST-END`, as long as the limit on values allows, for jobs whose chunks don't fit it.
  *
- * Records of both layouts, and parts of different lengths, may exist side by side for one job: a task is done when any of
- * them says so. Since a part's range is in its key, a part never replaces one of another length.
+ * One job may have records of both layouts and parts of different lengths at the same time: a task is done if its bit is
+ * set in any of them. A part's key contains its range, so a part never replaces one of another length.
  */
 import { KEY, PREFIX, read } from './records';
 
-/** Tasks of a chunk. Part of the stored format. */
+/** Part of the stored format: it determines the tasks that a chunk covers. */
 export const TASKS_PER_CHUNK = 65_536;
-/** Bytes of a value for the text around the bits. */
+/** Bytes of a value that are reserved for the JSON around the bits. */
 const OVERHEAD_BYTES = 64;
 
 /** Which records the completions of a job are written to. */
 export type CompletionLayout = { kind: 'chunks' } | { kind: 'parts'; partTasks: number };
 
-/** A job, as far as its completion records depend on it. */
+/** The properties of a job that determine its completion records. */
 export interface RecordedJob {
   id: string;
   tasks: number;
 }
 
-/** The record that holds the completions of the tasks from `first` up to `end`, not included. */
+/** The record for the completions of the tasks from `first` to `end` (exclusive). */
 export interface CompletionRecord {
   key: string;
   first: number;
   end: number;
 }
 
-/** A record, and the completed tasks that are to be recorded in it. */
+/** A record, and the completed tasks to be written to it. */
 export interface RecordGroup {
   record: CompletionRecord;
   tasks: number[];
@@ -43,7 +43,7 @@
   bits: string;
 }
 
-/** How many tasks' bits fit one value, as base64 text; a multiple of 8. */
+/** The number of tasks whose bits fit one value as base64 text; a multiple of 8. */
 function tasksPerValue(valueBytes: number): number {
   const textBytes = Math.max(4, valueBytes - OVERHEAD_BYTES);
   return Math.floor(textBytes / 4) * 3 * 8;
@@ -77,7 +77,7 @@
   return { key, first, end };
 }
 
-/** Sorts completed tasks into their records, in the order in which the records first occur. */
+/** Groups completed tasks by record, in the order in which the records first occur. */
 export function groupByRecord(
   job: RecordedJob,
   completed: Iterable<number>,
@@ -97,7 +97,7 @@
 /** The prefixes of all completion records. */
 export const COMPLETION_PREFIXES = [PREFIX.done, PREFIX.bits] as const;
 
-/** Whether a key is that of a completion record, of either layout. */
+/** Whether a key belongs to a completion record of either layout. */
 export function isCompletionKey(key: string): boolean {
   return COMPLETION_PREFIXES.some((prefix) => key.startsWith(prefix));
 }
--- a/src/bookkeeping/deletion-log.ts
+++ b/src/bookkeeping/deletion-log.ts
@@ -1,8 +1,8 @@
-/** @file Remembers which keys were deleted recently. */
+/** @file A log of recently deleted keys. */
 
-/** Above this many remembered deletions of one kind, the oldest are forgotten. */
+/** Number of remembered deletions of one kind above which the oldest are forgotten. */
 const MAX_PER_KIND = 2_000;
-/** How many of them are kept then. */
+/** Number of deletions of one kind that remain after the oldest were forgotten. */
 const KEPT_PER_KIND = 1_000;
 
 /** A key that was deleted, and the revision of the deletion. */
@@ -14,21 +14,21 @@
 /** Deletions of the keys of one kind. */
 interface KindLog {
   readonly versions: Map<string, number>;
-  /** Deletions of this kind after this revision are all remembered. */
+  /** All deletions of this kind after this revision are remembered. */
   completeFrom: number;
 }
 
 /**
- * Deletions by kind of key. Each kind has a bound of its own: the return of thousands of machines at once must not push
- * out the cancellations that a lease extension has to name, or a peer could extend no lease for as long as an outage
- * lasts.
+ * Recent deletions by kind of key. Each kind has its own limit. With a common limit, the termination of thousands of
+ * machines at once would evict the cancellations that a lease extension has to name, and no controller could grant
+ * lease extensions for the rest of an outage.
  */
 export class DeletionLog {
   readonly #kinds = new Map<string, KindLog>();
-  /** The same for kinds of which no key was deleted yet. */
+  /** The `completeFrom` of kinds without deletions. */
   #completeFrom = Infinity;
 
-  /** The revision at which the key was deleted; 0 when that isn't remembered. */
+  /** The revision at which the key was deleted; 0 if no deletion is remembered. */
   versionOf(kind: string, key: string): number {
     return this.#kinds.get(kind)?.versions.get(key) ?? 0;
   }
@@ -38,13 +38,13 @@
     this.#log(kind).versions.set(key, version);
   }
 
-  /** Declares that from now on all deletions after the revision are added. */
+  /** Declares that every deletion after the revision will be added. */
   startAt(revision: number): void {
     this.#completeFrom = revision;
     for (const log of this.#kinds.values()) log.completeFrom = revision;
   }
 
-  /** Deletions of a kind after a revision; undefined when not all of them are remembered. */
+  /** Deletions of a kind after a revision; undefined if not all of them are remembered. */
   since(kind: string, revision: number): Deletion[] | undefined {
     const log = this.#kinds.get(kind);
     if (revision < (log?.completeFrom ?? this.#completeFrom)) return undefined;
@@ -53,7 +53,7 @@
       .map(([key, version]) => ({ key, version }));
   }
 
-  /** Forgets the oldest deletions of each kind that exceeds its bound, but none after the revision. */
+  /** Forgets the oldest deletions of each kind that exceeds its limit, but keeps all deletions after the revision. */
   trim(revision: number): void {
     for (const log of this.#kinds.values()) trimKind(log, revision);
   }
--- a/src/bookkeeping/dependency-records.ts
+++ b/src/bookkeeping/dependency-records.ts
@@ -11,12 +11,12 @@
 const RESERVED_BYTES = 128;
 /** The comma between two elements of a list. */
 const SEPARATOR_BYTES = 1;
-/** The protocol's bound on a transaction's body, less a reserve for its keys. */
+/** The protocol's limit on the body of a transaction, minus a reserve for keys. */
 const MAX_TRANSACTION_BYTES = 48 * 1024;
 
-/** The key-value store allows this many conditions for each change that a transaction may have. */
+/** The key-value store's limit on conditions is this multiple of its limit on changes. */
 const CONDITIONS_PER_CHANGE = 4;
-/** Conditions of an acceptance besides those on parts. */
+/** Conditions of an acceptance on the job's own records. */
 const RESERVED_CONDITIONS = 2;
 
 /** Splits a list of job ids so that each part fits a value of the key-value store. */
@@ -56,7 +56,7 @@
   return allDependencies;
 }
 
-/** A job's record as it is to be written, and the conditions under which its list of dependencies is complete. */
+/** A job's record to be written, and the conditions that guarantee that its list of dependencies is complete. */
 export interface PreparedJob {
   readonly record: JobRecord;
   readonly conditions: Condition[];
@@ -65,14 +65,14 @@
 /** The key-value store's limits on one record and on one transaction. */
 export interface RecordLimits {
   readonly valueBytes: number;
-  /** Changes that a transaction may have. */
+  /** Maximum number of changes in a transaction. */
   readonly changes: number;
 }
 
 /**
  * Prepares the record of a job that is to be accepted. A list of dependencies that doesn't fit the record is stored in
- * parts first. Parts are only written while the job is neither live nor ended, and its acceptance has the versions of all
- * of them as conditions: an accepted job's list is complete and never changes.
+ * parts first. Each write of parts has the condition that the job is neither live nor ended, and the acceptance has the
+ * versions of all parts as conditions. So the list of an accepted job is complete and never changes.
  */
 export async function prepareJobRecord(
   job: Job,
@@ -88,7 +88,7 @@
   const conditions = versions.map((version, part) => ({ key: KEY.dependencyPart(job.id, part), version }));
   if (conditions.length > limits.changes * CONDITIONS_PER_CHANGE - RESERVED_CONDITIONS) {
     throw new NoResponseError(
-      `the dependencies of ${job.id} need more parts than a transaction can guard`,
+      `the dependencies of ${job.id} need more parts than a transaction may have conditions`,
       false,
     );
   }
@@ -106,27 +106,27 @@
   for (const [part, dependencies] of parts.entries()) {
     const value: DependencyPartRecord = { dependencies };
     const stored = await store.get(KEY.dependencyPart(id, part));
-    // A retry of the same submission continues where the one before it stopped.
+    // A repeated submission continues where the previous one stopped.
     if (stored && JSON.stringify(read.dependencyPart(stored.value)) === JSON.stringify(value)) {
       writer.versions[part] = stored.version;
       continue;
     }
     const bytes = jsonBytes(value);
-    if (!writer.hasRoomFor(bytes)) await writer.flush();
+    if (!writer.canAdd(bytes)) await writer.flush();
     writer.add({ part, version: stored?.version ?? 0, value }, bytes);
   }
   await writer.flush();
   return writer.versions;
 }
 
-/** A part that is to be written, and the version of the record that it replaces. */
+/** A part to be written, and the version of the record that it replaces. */
 interface PartWrite {
   readonly part: number;
   readonly version: number;
   readonly value: DependencyPartRecord;
 }
 
-/** Writes parts of one list of dependencies in transactions as large as the limits allow. */
+/** Writes the parts of one list of dependencies in transactions that are as large as the limits allow. */
 class PartWriter {
   /** The versions of the parts that are stored, by part. */
   readonly versions: number[] = [];
@@ -139,8 +139,8 @@
     private readonly limits: RecordLimits,
   ) {}
 
-  /** Whether the next transaction can hold another value of so many bytes. */
-  hasRoomFor(bytes: number): boolean {
+  /** Whether another value of this size fits the next transaction. */
+  canAdd(bytes: number): boolean {
     return this.#batch.length < this.limits.changes && this.#bytes + bytes <= MAX_TRANSACTION_BYTES;
   }
 
@@ -149,19 +149,25 @@
     this.#bytes += bytes;
   }
 
-  /** Writes what was added, while the job is neither live nor ended. */
+  /** Writes the added parts in one transaction, on the condition that the job is neither live nor ended. */
   async flush(): Promise<void> {
     if (this.#batch.length === 0) return;
     const { id } = this;
-    const isNotAccepted = unendedJobConditions(id, 0);
-    const areUnchanged = this.#batch.map(({ part, version }) => ({
+    const notAcceptedConditions = unendedJobConditions(id, 0);
+    const unchangedConditions = this.#batch.map(({ part, version }) => ({
       key: KEY.dependencyPart(id, part),
       version,
     }));
     const changes = this.#batch.map(({ part, value }) => ({ put: KEY.dependencyPart(id, part), value }));
-    const result = await this.store.compareAndSwap([...isNotAccepted, ...areUnchanged], changes);
+    const result = await this.store.compareAndSwap(
+      [...notAcceptedConditions, ...unchangedConditions],
+      changes,
+    );
     if (!result.ok) {
-      throw new NoResponseError(`the dependencies of ${id} changed while they were written`, false);
+      throw new NoResponseError(
+        `the stored dependencies of ${id} changed, or it was accepted, before this write`,
+        false,
+      );
     }
     for (const { part } of this.#batch) this.versions[part] = result.revision;
     this.#batch = [];
--- a/src/bookkeeping/dependent-cancellation.ts
+++ b/src/bookkeeping/dependent-cancellation.ts
@@ -1,4 +1,4 @@
-/** @file Cancels the jobs that depend on a cancelled one. */
+/** @file Cancels the jobs that depend on a cancelled job. */
 import type { Clock } from '../base/clock';
 import type { KeyValueStore } from '../protocol/key-value-store';
 import { CHANGES_PER_CANCELLATION, cancellationTransaction, type Cancellation } from './cancellation';
@@ -9,34 +9,34 @@
 
 const CHECK_INTERVAL_MS = 1_000;
 
-/** What the cancellation of dependents works on. */
+/** The services and limits that `DependentCancellation` uses. */
 export interface CancellationContext {
   readonly store: KeyValueStore;
   readonly cache: WatchCache;
   readonly clock: Clock;
   readonly jobs: JobStore;
   readonly dependencies: DependencyTracker;
-  /** Changes that a transaction may have. */
+  /** Maximum number of changes in a transaction. */
   readonly changes: number;
 }
 
 /**
- * Cancels the live jobs that depend on a cancelled one. They have no tasks, since none of them was started, so only
- * records have to change. Until then `JobStore.find` reports such a job to users as cancelled all the same: what a crash
- * or congestion leaves undone may wait.
+ * Cancels the live jobs that depend on a cancelled job. None of them has started, so they have no tasks and only records
+ * change. A delay after a crash or during congestion does no harm, because `JobStore.find` cancels such a job before it
+ * reports its state to a user.
  */
 export class DependentCancellation {
   constructor(private readonly context: CancellationContext) {}
 
-  /** One step; to be run in a loop. */
-  async step(mayAct: () => boolean): Promise<void> {
+  /** One step: cancels pending jobs if this controller is the leader. To be run in a loop. */
+  async step(isLeader: () => boolean): Promise<void> {
     await this.context.clock.sleep(CHECK_INTERVAL_MS);
-    if (mayAct()) await this.cancelPending();
+    if (isLeader()) await this.cancelPending();
   }
 
   /**
-   * Cancels all jobs whose cancellation is pending as far as this controller knows, a transaction at a time, until the
-   * steady time given.
+   * Cancels all jobs that this controller knows to depend on a cancelled job, one transaction after another. Starts no
+   * transaction once the steady time `until` is reached.
    */
   async cancelPending(until = Infinity): Promise<void> {
     const { changes, clock } = this.context;
@@ -60,8 +60,8 @@
     const { store, jobs } = this.context;
     const { conditions, changes } = cancellationTransaction(cancellations);
     const result = await store.compareAndSwap(conditions, changes);
-    // Where a condition failed, another controller ended one of the jobs meanwhile: the watch brings that end, or the
-    // next check reads it.
+    // A failed condition means that one of the jobs has ended meanwhile. The watch delivers that change, and the next step
+    // retries the other jobs.
     if (!result.ok) return;
     for (const cancellation of cancellations) jobs.onCancelled(cancellation, result.revision);
   }
--- a/src/bookkeeping/ended-jobs.ts
+++ b/src/bookkeeping/ended-jobs.ts
@@ -1,9 +1,9 @@
-/** @file What tasks of recently ended jobs may still use. */
+/** @file The resources that tasks of recently ended jobs may still use. */
 import type { Clock } from '../base/clock';
 import { PREFIX, read } from './records';
 import type { WatchCache } from './watch-cache';
 
-/** CPUs and GPUs of tasks. */
+/** CPUs and GPUs that tasks use. */
 export interface TaskUsage {
   cpus: number;
   gpus: number;
@@ -12,28 +12,28 @@
 interface EndedJob {
   readonly team: string;
   readonly usage: TaskUsage;
-  /** Steady time of the end. */
+  /** Steady time at which this controller learned of the end. */
   readonly endedAt: number;
 }
 
 const MS_PER_S = 1000;
-/** Longest time from the deletion of a record in this controller's copy to the response to the user who cancelled. */
+/** Longest time from a job's deletion in the watch cache to the response to the user who cancelled the job. */
 const MAX_RESPONSE_DELAY_MS = 5_000;
 
 /**
- * Jobs that ended recently. Tasks of a cancelled job may be on an unreachable machine for as long as the bound on
- * cancellations allows: a controller that acquires a shard has to count them against the limits of their teams.
+ * Jobs that ended recently. Tasks of a cancelled job may run on an unreachable machine until the time limit for
+ * cancellations: a controller that acquires a shard has to count them against the limits of their teams.
  */
 export class EndedJobs {
   readonly #windowMs: number;
-  /** In the order in which they ended. */
+  /** Sorted by `endedAt`. */
   #ended: EndedJob[] = [];
 
   constructor(
     private readonly cache: WatchCache,
     private readonly clock: Clock,
     cancelS: number,
-    /** Whether a job that ended can't have had a task, because one of its dependencies was cancelled. */
+    /** Whether an ended job never had a task, because one of its dependencies was cancelled. */
     neverStarted: (job: string) => boolean,
   ) {
     this.#windowMs = cancelS * MS_PER_S + MAX_RESPONSE_DELAY_MS;
@@ -56,7 +56,7 @@
     this.#ended = first < 0 ? [] : this.#ended.slice(first);
   }
 
-  /** What tasks of ended jobs may still use, by team; undefined when this controller has not watched for long enough. */
+  /** Resources that tasks of ended jobs may still use, by team; undefined until the watch has covered the window. */
   usageByTeam(): Map<string, TaskUsage> | undefined {
     if (this.clock.now() - this.cache.loadedAt < this.#windowMs) return undefined;
     this.#forgetOld();
--- a/src/bookkeeping/final-states.ts
+++ b/src/bookkeeping/final-states.ts
@@ -1,4 +1,4 @@
-/** @file Final states of jobs: their records, and a cache of those that were read or written. */
+/** @file Final states of jobs: their records, and a cache of the final states that were read or written. */
 import type { Entry, KeyValueStore } from '../protocol/key-value-store';
 import type { FinalState, JobStatus } from '../protocol/model';
 import { NoResponseError } from '../transport/http-client';
@@ -7,22 +7,22 @@
 
 const MAX_CACHED = 20_000;
 
-/** The final state of a job, as the key-value store has it. */
+/** The final state of a job, as stored in the key-value store. */
 export interface FinalStatus extends JobStatus {
   readonly state: FinalState;
-  /** Time of day of the end in milliseconds; records of the previous version lack it. */
+  /** Time of day of the end in milliseconds; undefined if the record was written in record format 1. */
   readonly endedAt: number | undefined;
 }
 
-/** A final state together with the revision of its record. */
+/** A final state, and the entry that it was read from. */
 export interface ReadFinal {
   readonly status: FinalStatus;
   readonly entry: Entry;
 }
 
-/** Final states of jobs. They never change, so what was read or written once is cached. */
+/** Reads and caches final states of jobs. A final state never changes, so a cached one is always valid. */
 export class FinalStates {
-  readonly #known = new Map<string, FinalStatus>();
+  readonly #statuses = new Map<string, FinalStatus>();
   readonly #listeners: ((status: FinalStatus) => void)[] = [];
 
   constructor(
@@ -30,29 +30,29 @@
     private readonly formatGate: FormatGate,
   ) {}
 
-  /** Registers a listener that is called with each final state when this controller learns it. */
+  /** Registers a listener that is called with each final state that is added to the cache. */
   onAdded(listener: (status: FinalStatus) => void): void {
     this.#listeners.push(listener);
   }
 
   /** The final state of a job if it is cached. */
   cached(id: string): FinalStatus | undefined {
-    return this.#known.get(id);
+    return this.#statuses.get(id);
   }
 
-  /** The record of a final state; the previous version can't read the time of the end. */
+  /** The record of a final state. Controllers that only understand record format 1 can't read `endedAt`. */
   record(state: FinalState, done: number, endedAt: number): FinalRecord {
     return this.formatGate.isOpenForFormat2 ? { state, done, endedAt } : { state, done };
   }
 
   /** Caches a final state that the key-value store has acknowledged. */
   add(id: string, { state, done, endedAt }: FinalRecord): FinalStatus {
-    const known = this.#known.get(id);
-    if (known) return known;
+    const cached = this.#statuses.get(id);
+    if (cached) return cached;
     const status: FinalStatus = { id, state, done, running: 0, endedAt };
-    const oldest = this.#known.size >= MAX_CACHED ? this.#known.keys().next().value : undefined;
-    if (oldest !== undefined) this.#known.delete(oldest);
-    this.#known.set(id, status);
+    const oldest = this.#statuses.size >= MAX_CACHED ? this.#statuses.keys().next().value : undefined;
+    if (oldest !== undefined) this.#statuses.delete(oldest);
+    this.#statuses.set(id, status);
     for (const listener of this.#listeners) listener(status);
     return status;
   }
@@ -62,8 +62,8 @@
     const entry = await this.store.get(KEY.final(id));
     if (!entry) return undefined;
     const final = read.final(entry.value);
-    // A job that has a record was accepted, even if the record is malformed.
-    if (!final) throw new NoResponseError(`the final state of ${id} can't be read`, false);
+    // A job with a malformed final record was accepted, so `undefined` would be wrong.
+    if (!final) throw new NoResponseError(`the final record of ${id} is malformed`, false);
     return { status: this.add(id, final), entry };
   }
 }
--- a/src/bookkeeping/format-gate.ts
+++ b/src/bookkeeping/format-gate.ts
@@ -1,4 +1,4 @@
-/** @file When records that the previous version cannot read may be written. */
+/** @file Decides when records may be written in a format that the previous version can't read. */
 import type { Clock } from '../base/clock';
 import type { Log } from '../base/log';
 import type { KeyValueStore } from '../protocol/key-value-store';
@@ -6,14 +6,14 @@
 import type { WatchCache } from './watch-cache';
 
 const CHECK_INTERVAL_MS = 1_000;
-const MARK_RETRY_MS = 300;
-const REPORT_INTERVAL_MS = 10_000;
+const WRITE_RETRY_MS = 300;
+const LOG_INTERVAL_MS = 10_000;
 
-/** What the format gate works on. */
+/** The services and settings that the format gate uses. */
 export interface FormatGateContext {
-  /** This controller. */
+  /** The id of this controller. */
   readonly controllerId: string;
-  /** All controllers that the settings name, this one included. */
+  /** The ids of all controllers in the settings, including this one. */
   readonly controllers: readonly string[];
   readonly store: KeyValueStore;
   readonly cache: WatchCache;
@@ -22,35 +22,35 @@
 }
 
 /**
- * Decides when records that the previous version can't read may be written. Every controller leaves a durable mark of
- * the newest record format that it understands; the gate is open for a format once the marks of all controllers named in
- * the settings say that or a newer one. Marks are never deleted and no lease holds them, so an open gate stays open,
- * whichever controllers restart.
+ * Decides when records may be written in a format that the previous version can't read. Every controller writes a format
+ * record: the newest record format that it understands. The gate is open for a format once the format records of all
+ * controllers in the settings contain that format or a newer one. Format records are never deleted and not bound to a
+ * lease, so an open gate stays open when controllers restart.
  */
 export class FormatGate {
   readonly #openFor = new Set<number>();
-  #isMarked = false;
-  #isReported = false;
-  #reportedAt = -Infinity;
+  #isRecordWritten = false;
+  #isOpeningLogged = false;
+  #progressLoggedAt = -Infinity;
 
   constructor(private readonly context: FormatGateContext) {}
 
-  /** One step: writes this controller's mark, and logs the progress of the upgrade. To be run in a loop. */
+  /** One step: writes this controller's format record, and logs the progress of the upgrade. To be run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
-    if (!this.#isMarked) this.#isMarked = await this.writeFormatRecord();
-    this.#report();
-    await this.context.clock.sleep(this.#isMarked ? CHECK_INTERVAL_MS : MARK_RETRY_MS, signal);
+    if (!this.#isRecordWritten) this.#isRecordWritten = await this.writeFormatRecord();
+    this.#logProgress();
+    await this.context.clock.sleep(this.#isRecordWritten ? CHECK_INTERVAL_MS : WRITE_RETRY_MS, signal);
   }
 
-  /** Logs once when the gate opens, and at intervals while it is closed. */
-  #report(): void {
-    if (this.#isReported || !this.context.cache.isLoaded) return;
+  /** Logs once that the gate is open for the newest format, and at intervals while it is closed. */
+  #logProgress(): void {
+    if (this.#isOpeningLogged || !this.context.cache.isLoaded) return;
     const now = this.context.clock.now();
     if (this.isOpenFor(RECORD_FORMAT)) {
-      this.#isReported = true;
+      this.#isOpeningLogged = true;
       this.context.log.info({ format: RECORD_FORMAT }, 'all controllers understand the record format');
-    } else if (now - this.#reportedAt >= REPORT_INTERVAL_MS) {
-      this.#reportedAt = now;
+    } else if (now - this.#progressLoggedAt >= LOG_INTERVAL_MS) {
+      this.#progressLoggedAt = now;
       this.context.log.info(
         { format: RECORD_FORMAT, missing: this.controllersWithout() },
         'not all controllers are upgraded',
@@ -58,12 +58,12 @@
     }
   }
 
-  /** Whether every controller understands dependencies and records in parts. */
+  /** Whether every controller understands format 2: dependencies among jobs, and records in parts. */
   get isOpenForFormat2(): boolean {
     return this.isOpenFor(FORMAT.dependencies);
   }
 
-  /** Whether every controller understands a format, as far as this controller's copy of the records shows. */
+  /** Whether every controller understands a format, according to the watch cache. */
   isOpenFor(format: number): boolean {
     if (this.#openFor.has(format)) return true;
     if (this.controllersWithout(format).length > 0) return false;
@@ -71,14 +71,14 @@
     return true;
   }
 
-  /** Controllers whose marks do not say that they understand a format. */
+  /** Controllers that, according to the watch cache, have no format record with this format or a newer one. */
   controllersWithout(format: number = RECORD_FORMAT): string[] {
     return this.context.controllers.filter(
       (controller) => !understands(this.context.cache.get(KEY.format(controller))?.value, format),
     );
   }
 
-  /** Like `isOpen`, but reads the marks from the key-value store: the copy may lag behind a mark just written. */
+  /** Like `isOpenForFormat2`, but also reads the key-value store: the watch cache may lack a format record just written. */
   async confirmOpenForFormat2(): Promise<boolean> {
     if (this.isOpenForFormat2) return true;
     for (const controller of this.controllersWithout(FORMAT.dependencies)) {
@@ -89,12 +89,12 @@
     return true;
   }
 
-  /** Writes this controller's mark, unless it is there. True: it is there now. */
+  /** Writes this controller's format record, unless it is stored already. True: it is stored now. */
   async writeFormatRecord(): Promise<boolean> {
     const key = KEY.format(this.context.controllerId);
     const entry = await this.context.store.get(key);
     if (understands(entry?.value, RECORD_FORMAT)) return true;
-    // On the condition of its version, so that a write carried out late can't replace the mark of a newer version.
+    // The condition on the version prevents a delayed write from replacing the format record of a newer version.
     const result = await this.context.store.compareAndSwap(
       [{ key, version: entry?.version ?? 0 }],
       [{ put: key, value: { format: RECORD_FORMAT } }],
--- a/src/bookkeeping/job-acceptance.ts
+++ b/src/bookkeeping/job-acceptance.ts
@@ -18,10 +18,10 @@
 import { SubmittedDependencies } from './submitted-dependencies';
 import type { WatchCache } from './watch-cache';
 
-/** How often an acceptance is tried in all: each failed condition may show that its admission terms have changed. */
+/** Maximum tries of an acceptance: a failed condition may mean that the admission terms have changed. */
 const MAX_ADMISSION_TRIES = 5;
 
-/** What the acceptance of jobs works on. */
+/** The services and limits that `JobAcceptance` uses. */
 export interface JobAcceptanceContext {
   readonly store: KeyValueStore;
   readonly cache: WatchCache;
@@ -30,7 +30,7 @@
   readonly formatGate: FormatGate;
   readonly limits: RecordLimits;
   readonly admission: AdmissionPolicy;
-  /** Applies an acknowledged change to this controller's copy of the records, and notifies the peers. */
+  /** Applies an acknowledged change to the watch cache, and notifies the peers. */
   publish(event: ChangeEvent): void;
 }
 
@@ -45,7 +45,7 @@
 export class JobAcceptance {
   readonly #dependencies: SubmittedDependencies;
 
-  /** `find` reads a job's state from the key-value store; undefined where the job was never accepted. */
+  /** `find` reads a job's state from the key-value store; undefined if the job was never accepted. */
   constructor(
     private readonly context: JobAcceptanceContext,
     private readonly find: (id: string) => Promise<JobStatus | undefined>,
@@ -55,13 +55,13 @@
 
   /** Accepts a job, or finds the one that was accepted before under this id. */
   async accept(job: Job): Promise<Acceptance> {
-    const known = this.context.finals.cached(job.id);
-    if (known) return { isNew: false, status: known };
+    const cached = this.context.finals.cached(job.id);
+    if (cached) return { isNew: false, status: cached };
     let checked: Job;
     try {
       checked = await this.#dependencies.withoutDoneDependencies(job);
     } catch (error) {
-      // An accepted job stays accepted, whatever a repeated submission names.
+      // An accepted job stays accepted, even if a repeated submission names invalid dependencies.
       const status = await this.find(job.id);
       if (status) return { isNew: false, status };
       throw error;
@@ -77,24 +77,24 @@
     }
     const status = await this.find(job.id);
     if (status) return { isNew: false, status };
-    throw new NoResponseError('a submission was not confirmed', true);
+    throw new NoResponseError('it is unknown whether a submission was accepted', true);
   }
 
   /**
-   * The state of a job whose repeated submission is deferred: an accepted job is never deferred later. Undefined: it
-   * wasn't accepted, or that can't be determined now.
+   * The state of a job whose submission is deferred, if an earlier submission was accepted: an accepted job must not be
+   * reported as deferred. Undefined: it wasn't accepted, or that can't be determined now.
    */
   async #findDeferred(id: string): Promise<JobStatus | undefined> {
     const { admission, cache } = this.context;
     const isLive = cache.get(KEY.job(id)) !== undefined;
     if (!isLive && !(await admission.allowsLookUp())) return undefined;
-    // Where the read fails, the response is the deferral, which names the time of the next try.
+    // If the read fails, the response is the deferral, which says when to submit the job again.
     return this.find(id).catch(() => undefined);
   }
 
   /**
-   * Writes the record of a job if it is admitted. `job` is the job as its user described it, `checked` the one to be
-   * stored. False: it may have been accepted before, or the response is missing.
+   * Writes the record of a job if it is admitted. `job` is the job as submitted, `checked` the job without its done
+   * dependencies, which is stored. False: it may have been accepted before, or there was no response.
    */
   async #writeIfAdmitted(job: Job, checked: Job): Promise<boolean> {
     const { store, clock, limits, admission, publish } = this.context;
@@ -113,26 +113,26 @@
     return false;
   }
 
-  /** Undefined: the response is missing. */
+  /** Writes the record in one transaction with the terms. Undefined: there was no response. */
   async #write(
     record: JobRecord,
     partConditions: readonly Condition[],
     terms: AdmissionTerms,
   ): Promise<CompareAndSwapResult | undefined> {
     const key = KEY.job(record.job.id);
-    const isNotAccepted = unendedJobConditions(record.job.id, 0);
-    const conditions = [...isNotAccepted, ...partConditions, ...terms.conditions];
+    const notAcceptedConditions = unendedJobConditions(record.job.id, 0);
+    const conditions = [...notAcceptedConditions, ...partConditions, ...terms.conditions];
     const changes = [{ put: key, value: record }, ...terms.changes];
     try {
       return await this.context.store.compareAndSwap(conditions, changes);
     } catch (error) {
       if (!(error instanceof NoResponseError)) throw error;
-      // It may have been written: the caller reads it back. If it is written later still, the user's retry finds it.
+      // The write may have been executed, so the caller reads it back. If it is executed later, the user's retry finds it.
       return undefined;
     }
   }
 
-  /** A job that depends on a cancelled one is accepted and is cancelled with it. */
+  /** The state of a job that was just accepted. If it depends on a cancelled job, `find` cancels it too. */
   async #statusOfAccepted(job: Job): Promise<JobStatus> {
     const queued: JobStatus = { id: job.id, state: 'queued', done: 0, running: 0 };
     if (!job.dependencies) return queued;
--- a/src/bookkeeping/job-conditions.ts
+++ b/src/bookkeeping/job-conditions.ts
@@ -2,7 +2,7 @@
 import type { Condition } from '../protocol/key-value-store';
 import { KEY } from './records';
 
-/** The job has not ended, and its live record has this version; 0: the job was never accepted. */
+/** Conditions: the job has not ended, and its live record has this version. Version 0: it was never accepted. */
 export function unendedJobConditions(id: string, liveVersion: number): Condition[] {
   return [
     { key: KEY.job(id), version: liveVersion },
--- a/src/bookkeeping/job-graph.ts
+++ b/src/bookkeeping/job-graph.ts
@@ -4,28 +4,28 @@
 /** How a job that others depend on ended. */
 export interface DependencyOutcome {
   readonly state: FinalState;
-  /** Time of day of its end in milliseconds, where it was recorded. */
+  /** Time of day of its end in milliseconds; undefined if it was not recorded. */
   readonly endedAt: number | undefined;
 }
 
 const NO_JOBS: readonly string[] = [];
 
 /**
- * The dependencies among live jobs, as far as this controller knows them: a graph with an edge from each live job to each
- * of its dependencies, and the outcome of a dependency once it was read from the key-value store. Everything is kept up
- * to date as jobs come and go, without recursion: chains may be thousands of jobs long.
+ * The dependencies among live jobs that this controller knows: a graph with an edge from each live job to each of its
+ * dependencies, and the outcomes of dependencies that were read from the key-value store. It is updated incrementally as
+ * jobs are added and removed, without recursion, because chains may be thousands of jobs long.
  */
 export class JobGraph {
   readonly #dependencies = new Map<string, readonly string[]>();
   readonly #dependents = new Map<string, Set<string>>();
   readonly #outcomes = new Map<string, DependencyOutcome>();
-  /** How many dependencies of a job are not known to be done. */
-  readonly #unfinished = new Map<string, number>();
-  /** Live jobs that depend on a cancelled one, directly or through others. */
+  /** The number of dependencies of each job that are not known to be done. */
+  readonly #unfinishedCounts = new Map<string, number>();
+  /** Live jobs that depend on a cancelled job, directly or indirectly. */
   readonly #pendingCancellations = new Set<string>();
   #version = 0;
 
-  /** Changes whenever an edge is added or removed. */
+  /** Increases whenever a job and its edges are added or removed. */
   get version(): number {
     return this.#version;
   }
@@ -65,14 +65,14 @@
     return this.#dependents.keys();
   }
 
-  /** How a dependency ended; undefined while that is not known. */
+  /** The outcome of a dependency; undefined while it is unknown. */
   outcome(job: string): DependencyOutcome | undefined {
     return this.#outcomes.get(job);
   }
 
   /** Whether every dependency is known to be done. Once true it stays true. */
   isReady(job: string): boolean {
-    return this.#unfinished.get(job) === 0;
+    return this.#unfinishedCounts.get(job) === 0;
   }
 
   /** Whether the job is to be cancelled because a job that it depends on is cancelled. */
@@ -89,7 +89,7 @@
       const dependents = this.#dependents.get(dependency) ?? new Set<string>();
       this.#dependents.set(dependency, dependents.add(job));
     }
-    this.#unfinished.set(job, distinct.filter((dependency) => !this.#isDone(dependency)).length);
+    this.#unfinishedCounts.set(job, distinct.filter((dependency) => !this.#isDone(dependency)).length);
     this.#version += 1;
     if (distinct.some((dependency) => this.#isCancelled(dependency))) this.#markForCancellation([job]);
   }
@@ -107,7 +107,7 @@
     const dependencies = this.#dependencies.get(job);
     if (!dependencies) return;
     this.#dependencies.delete(job);
-    this.#unfinished.delete(job);
+    this.#unfinishedCounts.delete(job);
     this.#pendingCancellations.delete(job);
     for (const dependency of dependencies) this.#removeEdge(dependency, job);
     this.#version += 1;
@@ -121,7 +121,7 @@
     this.#outcomes.delete(dependency);
   }
 
-  /** Sets the outcome of a dependency, as the key-value store has it. Returns the jobs that are ready from now on. */
+  /** Sets the outcome of a dependency, as stored in the key-value store. Returns the jobs that became ready. */
   setOutcome(job: string, outcome: DependencyOutcome): string[] {
     const dependents = this.#dependents.get(job);
     if (!dependents || this.#outcomes.has(job)) return [];
@@ -132,14 +132,14 @@
     }
     const ready: string[] = [];
     for (const dependent of dependents) {
-      const unfinished = (this.#unfinished.get(dependent) ?? 0) - 1;
-      this.#unfinished.set(dependent, unfinished);
+      const unfinished = (this.#unfinishedCounts.get(dependent) ?? 0) - 1;
+      this.#unfinishedCounts.set(dependent, unfinished);
       if (unfinished === 0) ready.push(dependent);
     }
     return ready;
   }
 
-  /** Marks jobs, and all that depend on them. */
+  /** Adds jobs, and all their direct and indirect dependents, to the pending cancellations. */
   #markForCancellation(jobs: Iterable<string>): void {
     const unvisited = [...jobs];
     for (let job = unvisited.pop(); job !== undefined; job = unvisited.pop()) {
@@ -149,7 +149,7 @@
     }
   }
 
-  /** All jobs that the job depends on, directly or through others, and that are not known to be done. */
+  /** All direct and indirect dependencies of the job that are not known to be done. */
   unfinishedAncestors(job: string): Set<string> {
     const ancestors = new Set<string>();
     const unvisited = [...this.dependenciesOf(job)];
@@ -161,7 +161,7 @@
     return ancestors;
   }
 
-  /** When the last dependency ended, as a time of day; undefined where no end is known or recorded. */
+  /** The time of day at which the last dependency ended; undefined if no such time is known. */
   lastDependencyEndedAt(job: string): number | undefined {
     let last: number | undefined;
     for (const dependency of this.dependenciesOf(job)) {
--- a/src/bookkeeping/job-store.ts
+++ b/src/bookkeeping/job-store.ts
@@ -7,14 +7,14 @@
 import { JobAcceptance, type Acceptance, type JobAcceptanceContext } from './job-acceptance';
 import { KEY, read, type FinalRecord } from './records';
 
-/** What the job store works on. */
+/** The services and limits that `JobStore` uses. */
 export interface JobStoreContext extends JobAcceptanceContext {
   readonly dependencies: DependencyTracker;
 }
 
 /**
- * Jobs as the key-value store has them. A live job's record is written once, when it is accepted, and deleted in the
- * transaction that writes its final state: done and cancelled race on that one record, and the first one is final.
+ * Reads and writes the records of jobs. A live record is written once, when the job is accepted, and deleted in the
+ * transaction that writes the final state. If completion and cancellation race, the first of the two deletes it and wins.
  */
 export class JobStore {
   readonly #acceptance: JobAcceptance;
@@ -28,34 +28,34 @@
     return this.#acceptance.accept(job);
   }
 
-  /** The job's present state, as the key-value store has it. Undefined: it was never accepted. */
+  /** The job's current state in the key-value store. Undefined: it was never accepted. */
   async find(id: string): Promise<JobStatus | undefined> {
-    const known = this.context.finals.cached(id);
-    if (known) return known;
-    // In this order: a job that ends between the two reads is found by the second.
+    const cached = this.context.finals.cached(id);
+    if (cached) return cached;
+    // The live record is read first, so that a job that ends between the two reads is found by the second.
     const live = await this.context.store.get(KEY.job(id));
     return live ? this.#findLive(id, live) : this.#findFinal(id);
   }
 
   /**
-   * A job is cancelled when one of its dependencies is cancelled. A user who asks for the state of such a job gets the
-   * response only after its cancellation is written, and never any other: any controller comes to the same response,
-   * whatever became of the one that cancelled the dependency.
+   * A job is cancelled when one of its dependencies is cancelled. A request for the state of such a job writes the
+   * cancellation before the response is sent. So every controller responds that the job is cancelled, even if the
+   * controller that cancelled the dependency has crashed.
    */
   async #findLive(id: string, live: Entry): Promise<JobStatus | undefined> {
     const { dependencies } = this.context;
-    const hasDependencies = this.#learnDependencies(live);
+    const hasDependencies = this.#applyDependencies(live);
     if (hasDependencies && (await dependencies.isCancellationPending(id))) return this.cancel(id, 0);
     const status: JobStatus = { id, state: 'queued', done: 0, running: 0 };
     if (!hasDependencies) return status;
-    // It may have been cancelled meanwhile, by the leader or for another request.
+    // The leader or another request may have cancelled the job meanwhile.
     const final = dependencies.graph.has(id) ? undefined : await this.#findFinal(id);
     if (final) return final;
     return { ...status, unfinishedDependencies: dependencies.unfinishedDependencies(id) };
   }
 
-  /** Applies a record that was just read to this controller's copy. True: the job has dependencies. */
-  #learnDependencies(live: Entry): boolean {
+  /** Applies a live record that was just read to the watch cache if the job has dependencies. True: it has. */
+  #applyDependencies(live: Entry): boolean {
     const record = read.job(live.value);
     if (!record?.job.dependencies && record?.dependencyParts === undefined) return false;
     this.context.cache.applyNotification(eventOfEntry(live));
@@ -65,14 +65,14 @@
   async #findFinal(id: string): Promise<JobStatus | undefined> {
     const final = await this.context.finals.read(id);
     if (!final) return undefined;
-    // The transaction that wrote it deleted the live record, and its writer may have died, or never got the response. A
-    // controller that reports a cancellation to a user must name it in the lease extensions that it grants
-    // (`LeaseExtension`): so it is in this controller's copy before any response is sent.
+    // The controller that wrote the cancellation may not have published it: it crashed, or got no response. A controller
+    // that reports a cancellation to a user must name it in the lease extensions that it grants (`LeaseExtension`). So
+    // the deletion of the live record is applied to the watch cache before the response is sent.
     if (final.status.state === 'cancelled') this.#publishEnd(id, final.entry.version);
     return final.status;
   }
 
-  /** The record of an end at this moment. */
+  /** The final record of a job that ends now. */
   finalRecord(state: FinalState, done: number): FinalRecord {
     return this.context.finals.record(state, done, this.context.clock.date().getTime());
   }
@@ -84,8 +84,8 @@
 
   /** Cancels a job unless it is done. Undefined: it was never accepted. */
   async cancel(id: string, doneSoFar: number): Promise<JobStatus | undefined> {
-    const known = this.context.finals.cached(id);
-    if (known) return known;
+    const cached = this.context.finals.cached(id);
+    if (cached) return cached;
     for (;;) {
       const live = await this.context.store.get(KEY.job(id));
       if (!live) return this.find(id);
@@ -97,7 +97,7 @@
     }
   }
 
-  /** To be called when a cancellation was acknowledged with this revision; returns the job's final state. */
+  /** Called after a cancellation was acknowledged with this revision; returns the job's final state. */
   onCancelled({ id, final }: Cancellation, revision: number): JobStatus {
     const status = this.cacheFinalState(id, final);
     this.#publishEnd(id, revision);
--- a/src/bookkeeping/records.ts
+++ b/src/bookkeeping/records.ts
@@ -8,16 +8,16 @@
 import type { Job } from '../protocol/model';
 
 /**
- * The prefix of all records that concern live jobs, shards, machines and controllers, which every controller watches.
- * Final states lie apart and are read on demand, so that a controller's copy stays small.
+ * The prefix of all records of live jobs, shards, machines and controllers, which every controller watches. Final states
+ * have another prefix and are read on demand, so that the watch cache stays small.
  */
 export const LIVE_PREFIX = 'live/';
 
-/** Record formats by what they introduced (docs/UPGRADE.md). Format 1 left no mark and has none of it. */
+/** Record formats by what they introduced (docs/UPGRADE.md). Controllers of format 1 write no format record. */
 export const FORMAT = {
   /** Dependencies among jobs, and completions and machine types in small parts. */
   dependencies: 2,
-  /** Admission epochs, which the conditions of every acceptance have to name. */
+  /** Admission epochs: every acceptance of a job has a condition on the epoch's record. */
   admission: 3,
 } as const;
 
@@ -31,24 +31,24 @@
   types: 'live/types',
   typesPart: (part: number) => `live/types-part/${part}`,
   controller: (controller: string) => `live/node/${controller}`,
-  /** The record format that a controller understands; durable, see `FormatGate`. */
+  /** The newest record format that a controller understands; durable, see `FormatGate`. */
   format: (controller: string) => `live/format/${controller}`,
   shard: (shard: number) => `live/block/${shard}`,
   lease: (shard: number) => `live/lease/${shard}`,
   machine: (id: string) => `live/machine/${id}`,
   job: (id: string) => `live/job/${id}`,
-  /** A part of a job's list of dependencies, where the list doesn't fit the job's record. */
+  /** A part of a job's list of dependencies, if the list doesn't fit the job's record. */
   dependencyPart: (id: string, part: number) => `live/dependencies/${id}/${part}`,
   done: (id: string, chunk: number) => `live/done/${id}/${chunk}`,
-  /** Completions of the tasks from `first` up to `end`, not included. */
+  /** Completions of the tasks from `first` to `end` (exclusive). */
   bits: (id: string, first: number, end: number) => `live/bits/${id}/${first}-${end}`,
-  /** A controller relays the leases of a shard's workers which reach it and not the owner. */
+  /** Present while the controller relays the leases of workers of the shard that reach it but not the owner. */
   relay: (shard: number, controller: string) => `live/keep/${shard}/${controller}`,
   /** The admission epoch. */
   admission: 'live/admission',
-  /** What the teams of a class are granted in the epoch; `name` is derived from the class. */
+  /** The grants of the teams of a class in the epoch; `name` is derived from the class. */
   admissionClass: (name: string) => `live/admission-class/${name}`,
-  /** What was admitted for a flow; `name` is derived from its class and team. */
+  /** The work admitted for a flow; `name` is derived from its class and team. */
   admissionFlow: (name: string) => `live/admission-flow/${name}`,
   final: (id: string) => `final/${id}`,
 };
@@ -79,7 +79,7 @@
   teams: z.array(z.string()),
   /** The controller that acquired the shard last. */
   holder: z.string().optional(),
-  /** How many shards there are in all. */
+  /** The total number of shards. */
   of: z.int().min(1).optional(),
 });
 const leaseRecord = z.object({ owner: z.string(), token: count });
@@ -89,15 +89,15 @@
   type: z.string(),
   zone: z.string(),
   spot: z.boolean(),
-  /** Set before the worker gets its first response: a machine that isn't up can't hold a task. */
+  /** Set before the worker gets its first response, so a machine that isn't up has no tasks. */
   up: z.boolean(),
-  /** Time of day of the rental, for its age only. */
+  /** Time of day of the rental, used only for the machine's age. */
   rentedAt: z.number(),
 });
 const finalRecord = z.object({
   state: z.enum(['done', 'cancelled']),
   done: count,
-  /** Time of day of the end, in milliseconds; the previous version neither writes nor reads it. */
+  /** Time of day of the end, in milliseconds; not part of record format 1. */
   endedAt: z.number().optional(),
 });
 const dependencyPartRecord = z.object({ dependencies: z.array(z.string()) });
@@ -105,7 +105,7 @@
 const jobRecord = z.object({
   job: z.custom<Job>((v) => typeof v === 'object' && v !== null && 'id' in v && 'tasks' in v),
   submittedAt: z.number(),
-  /** The number of records that hold the list of dependencies; absent where the list stands in `job`. */
+  /** The number of records that hold the list of dependencies; absent if `job` contains the list. */
   dependencyParts: z.int().min(1).optional(),
 });
 const machineType = z.object({
@@ -124,7 +124,7 @@
 const typesPartRecord = z.object({
   /** Parts that were written together have the same edition. */
   edition: z.int().min(1),
-  /** How many parts there are in all. */
+  /** The total number of parts. */
   of: z.int().min(1),
   types: z.array(machineType),
 });
@@ -132,15 +132,15 @@
 const weights = z.record(z.string(), z.number().positive());
 const admissionRecord = z.object({
   epoch: z.int().min(1),
-  /** Counts overloads. */
+  /** The number of overloads so far, which identifies the overload. */
   overload: count,
   isOverloaded: z.boolean(),
   /** Time between two epochs of an overload, in milliseconds. */
   epochMs: z.number().positive(),
   weights: z.object({ classes: weights, teams: weights }),
-  /** CPU seconds that a flow without a grant of its own may take. */
+  /** CPU seconds that may be admitted for a flow without its own grant. */
   newFlowGrant: z.number(),
-  /** Classes whose grants are part of the epoch, each in a record of its own. */
+  /** Classes whose grants are part of the epoch; each class has its own record. */
   classes: z.array(z.string()),
 });
 const admissionClassRecord = z.object({
@@ -153,7 +153,7 @@
   class: z.string(),
   team: z.string(),
   overload: count,
-  /** CPU seconds admitted since that overload began. */
+  /** CPU seconds admitted since the overload began. */
   admitted: z.number().min(0),
 });
 
@@ -161,7 +161,7 @@
 export type AdmissionRecord = z.infer<typeof admissionRecord>;
 /** The grants of one class in an admission epoch. */
 export type AdmissionClassRecord = z.infer<typeof admissionClassRecord>;
-/** What was admitted for one flow in an overload. */
+/** The work admitted for one flow in an overload. */
 export type AdmissionFlowRecord = z.infer<typeof admissionFlowRecord>;
 /** A live controller, and the lease of its session. */
 export type ControllerRecord = z.infer<typeof controllerRecord>;
--- a/src/bookkeeping/session.ts
+++ b/src/bookkeeping/session.ts
@@ -1,4 +1,4 @@
-/** @file The controller's own lease in the key-value store. */
+/** @file The lease of a controller in the key-value store. */
 import type { Clock } from '../base/clock';
 import type { Log } from '../base/log';
 import type { KeyValueStore } from '../protocol/key-value-store';
@@ -7,14 +7,14 @@
 
 /** Largest relative drift of one controller's steady clock against another's; each drifts by up to 0.05%. */
 export const MAX_CLOCK_DRIFT = 0.001;
-/** How long before the expiry of its lease a controller stops acting, because messages may still be in flight. */
+/** Time between the end of validity and the expiry of the lease, because messages may still be in flight. */
 const STOP_MARGIN_MS = 400;
 const RENEWALS_PER_LEASE = 6;
 const LOAD_POLL_MS = 20;
 
-/** What a session works on. */
+/** The services and settings that a session uses. */
 export interface SessionContext {
-  /** The controller that the session belongs to. */
+  /** The id of the controller that the session belongs to. */
   readonly controllerId: string;
   /** The time to live of the lease. */
   readonly ttlMs: number;
@@ -25,9 +25,9 @@
 }
 
 /**
- * This controller's lease in the key-value store. Everything that the controller holds (membership, leadership, shards)
- * is bound to it. The controller may act while `valid`: both its last renewal and its copy of the records are recent
- * enough.
+ * This controller's lease in the key-value store. The controller's membership, leadership and shards are bound to it. The
+ * session is valid while both the last renewal and the watch cache are recent enough, or while all peers have extended
+ * the lease.
  */
 export class Session {
   #lease: number | undefined;
@@ -41,7 +41,7 @@
     return this.#lease;
   }
 
-  /** The steady time up to which this controller may act. */
+  /** The steady time until which the session is valid. */
   get validUntil(): number {
     if (this.#lease === undefined) return -Infinity;
     return Math.max(this.#validByOwnLeaseUntil, this.#extendedUntil);
@@ -49,32 +49,32 @@
 
   get #validByOwnLeaseUntil(): number {
     const { cache, ttlMs } = this.context;
-    // The lease is counted from when the renewal was sent. A copy of the records that is older than the lease could miss
-    // a cancellation, so it bounds the controller's right to act just the same.
+    // The lease is counted from when the renewal was sent. The age of the watch cache is limited in the same way, because
+    // a cache that is older than the lease could lack a cancellation.
     const base = Math.min(this.#renewedAt, cache.freshAt);
     return base + ttlMs * (1 - MAX_CLOCK_DRIFT) - STOP_MARGIN_MS;
   }
 
-  /** Whether the controller may act by its lease in the key-value store alone, without an extension by its peers. */
+  /** Whether the session is valid by the lease in the key-value store alone, without an extension by the peers. */
   get isValidByOwnLease(): boolean {
     return this.#lease !== undefined && this.context.clock.now() < this.#validByOwnLeaseUntil;
   }
 
   /**
-   * Extends the right to act, because all peers granted to acquire nothing that this controller holds until then. Has no
-   * effect once the right to act has ended.
+   * Extends the validity: until then, no peer acquires anything that this controller holds, because all peers granted a
+   * lease extension. Has no effect on a session that is no longer valid.
    */
   extendUntil(until: number): void {
     if (this.isValid) this.#extendedUntil = Math.max(this.#extendedUntil, until);
   }
 
-  /** Whether the right to act is running out because the key-value store doesn't respond. */
+  /** Whether less than half the time to live is left, because the key-value store doesn't respond. */
   get isNearExpiry(): boolean {
     const { clock, ttlMs } = this.context;
     return this.#lease !== undefined && this.validUntil - clock.now() < ttlMs / 2;
   }
 
-  /** Whether the controller may act at this moment. */
+  /** Whether the session is valid now. Only then may the controller act as leader or shard owner. */
   get isValid(): boolean {
     return this.context.clock.now() < this.validUntil;
   }
@@ -96,14 +96,14 @@
     const key = KEY.controller(controllerId);
     const previous = read.controller((await store.get(key))?.value);
     if (previous) {
-      // The previous process of this controller is dead, for this one replaced it. Its lease is revoked, so that no
-      // controller has to wait for its expiry.
+      // This process replaced the previous process of this controller, which has ended. Its lease is revoked, so that
+      // other controllers don't have to wait for the expiry.
       await store.revokeLease(previous.lease);
-      log.info({ lease: previous.lease }, 'revoked the lease of the previous process');
+      log.info({ lease: previous.lease }, 'controller lease of the previous process revoked');
     }
     const sentAt = clock.now();
     const lease = await store.grantLease(ttlMs);
-    // On the condition that there is no record: a late copy from a previous process must not replace it.
+    // The condition that no record exists prevents a delayed write of a previous process from replacing this record.
     const result = await store.compareAndSwap(
       [{ key, version: 0 }],
       [{ put: key, value: { lease }, lease }],
--- a/src/bookkeeping/shard-count.ts
+++ b/src/bookkeeping/shard-count.ts
@@ -4,10 +4,10 @@
 import type { WatchCache } from './watch-cache';
 
 /**
- * How many shards there are. The operator's setting comes first; then the number that the first leader recorded, for a
- * number that follows from a quota would differ between controllers while their machines are being changed, and a team
- * must never lie in two shards; then the number that follows from this controller's own quota. The record of shard 0 is
- * the first to be written.
+ * The number of shards: the operator's setting, else the number that the first leader recorded, else the number derived
+ * from this controller's quota. The recorded number precedes the derived one, because quotas differ between controllers
+ * while their machines are being replaced, and a team must never belong to two shards. It is read from the record of
+ * shard 0, which is the first to be written.
  */
 export function shardCount(cache: WatchCache, { operator, throttling }: Settings): number {
   return operator.blocks ?? read.shard(cache.get(KEY.shard(0))?.value)?.of ?? throttling.shards;
--- a/src/bookkeeping/submitted-dependencies.ts
+++ b/src/bookkeeping/submitted-dependencies.ts
@@ -8,8 +8,8 @@
 import { KEY } from './records';
 import type { WatchCache } from './watch-cache';
 
-/** How many dependencies of a submission are looked up at the same time. */
-const CHECKS_AT_ONCE = 8;
+/** Maximum number of dependencies of a submission that are looked up at the same time. */
+const MAX_CONCURRENT_CHECKS = 8;
 
 /** A submission names a job that was never accepted, or itself. */
 export class UnknownDependencyError extends Error {
@@ -19,7 +19,7 @@
   }
 }
 
-/** What the check of dependencies works on. */
+/** The services that `SubmittedDependencies` uses. */
 export interface SubmittedDependenciesContext {
   readonly store: KeyValueStore;
   readonly cache: WatchCache;
@@ -27,24 +27,24 @@
   readonly formatGate: FormatGate;
 }
 
-/** Finds out which dependencies of a submission are still to be waited for. */
+/** Checks the dependencies of a submission, and removes those that are done. */
 export class SubmittedDependencies {
   constructor(private readonly context: SubmittedDependenciesContext) {}
 
   /**
-   * The job with those of its dependencies that aren't done yet: what is done stays done. Throws where one was never
-   * accepted, or where that can't be determined now.
+   * The job without its done dependencies: a done job stays done. Throws if a dependency was never accepted, or if that
+   * can't be determined now.
    */
   async withoutDoneDependencies(job: Job): Promise<Job> {
     const { dependencies, ...rest } = job;
     if (!dependencies) return job;
-    // Only the key-value store itself proves that every version that may start tasks understands dependencies.
+    // Without this check, a controller of an older version could start the job before its dependencies are done.
     if (!(await this.context.formatGate.confirmOpenForFormat2())) {
       throw new NoResponseError('not all controllers understand dependencies yet', false);
     }
     const unfinished: string[] = [];
-    for (let from = 0; from < dependencies.length; from += CHECKS_AT_ONCE) {
-      const batch = dependencies.slice(from, from + CHECKS_AT_ONCE);
+    for (let from = 0; from < dependencies.length; from += MAX_CONCURRENT_CHECKS) {
+      const batch = dependencies.slice(from, from + MAX_CONCURRENT_CHECKS);
       const areDone = await Promise.all(batch.map((dependency) => this.#isDone(dependency, job.id)));
       unfinished.push(...batch.filter((_, index) => areDone[index] === false));
     }
@@ -52,14 +52,14 @@
   }
 
   /**
-   * Whether a dependency is done. That it was accepted is proved by a live or a final record; one of them exists at all
-   * times from then on, so an older copy of the records proves it just as well.
+   * Whether a dependency is done. Throws if it was never accepted. An accepted job always has a live or a final record,
+   * so a live record in the watch cache shows that it was accepted, even if the cache is outdated.
    */
   async #isDone(id: string, dependent: string): Promise<boolean> {
     const { finals, cache, store } = this.context;
     if (id === dependent) throw new UnknownDependencyError(id);
-    const known = finals.cached(id);
-    if (known) return known.state === 'done';
+    const cached = finals.cached(id);
+    if (cached) return cached.state === 'done';
     if (cache.get(KEY.job(id))) return false;
     const live = await store.get(KEY.job(id));
     if (live) {
--- a/src/bookkeeping/type-records.ts
+++ b/src/bookkeeping/type-records.ts
@@ -1,8 +1,8 @@
 /**
- * @file The records of the machine types, from which a controller that starts while the cloud is down reads them.
+ * @file The stored list of machine types, for controllers that start while the cloud is unavailable.
  *
- * It is one record or, when that would not fit one value, several parts that each hold some of the types. Parts that were
- * written together have the same edition; they count only when all of them exist.
+ * The list is stored in one record or, if it would not fit one value, in several parts. Parts that were written together
+ * have the same edition; they are used only if all parts of the edition exist.
  */
 import { jsonBytes } from '../base/state-limits';
 import type { MachineType } from '../protocol/model';
@@ -10,13 +10,13 @@
 import { KEY, PREFIX, read } from './records';
 import type { WatchCache } from './watch-cache';
 
-/** Bytes of a value for the text around the list of types. */
+/** Bytes of a value that are reserved for the JSON around the list of types. */
 const OVERHEAD_BYTES = 64;
 
 /** The limits on records of machine types. */
 export interface TypeRecordLimits {
   valueBytes: number;
-  /** Changes of one transaction. */
+  /** Maximum number of changes in a transaction. */
   changes: number;
   /** Whether every controller understands parts. */
   mayUseParts: boolean;
@@ -36,12 +36,12 @@
 
 type Records = Pick<WatchCache, 'get' | 'under' | 'version'>;
 
-/** Whether a key is that of a record of machine types, whole or in parts. */
+/** Whether a key belongs to a record of machine types, either the single record or a part. */
 export function isTypesKey(key: string): boolean {
   return key === KEY.types || key.startsWith(PREFIX.typesPart);
 }
 
-/** The types as they are stored: the parts if all exist, else the one record. */
+/** The stored types: from the parts if all exist, else from the single record. */
 export function readTypes(records: Records): readonly MachineType[] | undefined {
   return readParts(records)?.types ?? read.types(records.get(KEY.types)?.value)?.types;
 }
@@ -59,7 +59,7 @@
   }
 }
 
-/** The transactions that store the types; none when they are stored already, or can't be. */
+/** The transactions that store the types; none if they are stored already, or can't be stored. */
 export function machineTypeTransactions(
   types: readonly MachineType[],
   records: Records,
@@ -67,11 +67,11 @@
 ): TypesTransaction[] {
   if (types.length === 0) return [];
   const stored = readParts(records);
-  const known = stored ?? read.types(records.get(KEY.types)?.value);
-  if (JSON.stringify(known?.types) === JSON.stringify(types)) return [];
-  const fitsOne = jsonBytes({ types }) <= limits.valueBytes;
-  // Once parts exist they are read rather than the one record, and so they have to be written too.
-  if (stored === undefined && (fitsOne || !limits.mayUseParts)) {
+  const current = stored ?? read.types(records.get(KEY.types)?.value);
+  if (JSON.stringify(current?.types) === JSON.stringify(types)) return [];
+  const fitsOneValue = jsonBytes({ types }) <= limits.valueBytes;
+  // Readers prefer existing parts to the single record, so once parts exist the types have to be written as parts.
+  if (stored === undefined && (fitsOneValue || !limits.mayUseParts)) {
     const condition = { key: KEY.types, version: records.version(KEY.types) };
     return [{ conditions: [condition], changes: [{ put: KEY.types, value: { types } }] }];
   }
@@ -92,7 +92,7 @@
   return { edition: first.edition, of: first.of, types };
 }
 
-/** Splits the list so that each part fits; undefined when a single type doesn't. */
+/** Splits the list so that each part fits; undefined if a single type doesn't. */
 function splitTypes(types: readonly MachineType[], bytes: number): MachineType[][] | undefined {
   const lists: MachineType[][] = [];
   let list: MachineType[] = [];
@@ -111,7 +111,7 @@
 function partTransactions(
   lists: readonly MachineType[][],
   records: Records,
-  changesAtOnce: number,
+  maxChanges: number,
 ): TypesTransaction[] {
   const stored = [...records.under(PREFIX.typesPart)];
   const editions = stored.map((entry) => read.typesPart(entry.value)?.edition ?? 0);
@@ -124,8 +124,8 @@
   const surplus = stored.filter(({ key }) => !written.has(key));
   const changes: Change[] = [...puts, ...surplus.map(({ key }) => ({ delete: key }))];
   const transactions: TypesTransaction[] = [];
-  for (let from = 0; from < changes.length; from += changesAtOnce) {
-    const batch = changes.slice(from, from + changesAtOnce);
+  for (let from = 0; from < changes.length; from += maxChanges) {
+    const batch = changes.slice(from, from + maxChanges);
     const conditions = batch.map((change) => conditionFor(change, records));
     transactions.push({ conditions, changes: batch });
   }
--- a/src/bookkeeping/watch-cache.ts
+++ b/src/bookkeeping/watch-cache.ts
@@ -1,30 +1,30 @@
-/** @file A copy of the live records, kept up to date by a watch. */
+/** @file A cache of the live records that is kept up to date by a watch. */
 import type { Clock } from '../base/clock';
 import type { ChangeEvent, Entry, KeyValueStore } from '../protocol/key-value-store';
 import { eventOfEntry } from './change-events';
 import { DeletionLog, type Deletion } from './deletion-log';
 
-/** Receives a change, and the value that was there before. */
+/** Called with a change, and the previous value of the key. */
 type Listener = (event: ChangeEvent, previousValue: unknown) => void;
 
-/** What a watch cache works on. */
+/** The services and settings that a watch cache uses. */
 export interface WatchCacheContext {
   readonly store: KeyValueStore;
-  /** The prefix of the keys that are copied. */
+  /** The prefix of the keys that are cached. */
   readonly prefix: string;
   readonly clock: Clock;
-  /** How long a watch waits for changes; the copy is never known to be fresher than that. */
+  /** Longest time that a watch request waits for changes; `freshAt` lags behind by up to this time. */
   readonly waitMs: number;
-  /** Least time between the starts of two watches; change notifications are quicker. */
+  /** Minimum time between the starts of two watch requests; notifications by peers bring changes sooner. */
   readonly minWatchIntervalMs: number;
 }
 
-/** A copy of all live records, kept by one watch. */
+/** Caches all live records, and keeps the cache up to date with one watch request after another. */
 export class WatchCache {
   readonly #entries = new Map<string, Entry>();
-  /** The same entries by the first two parts of their keys, as `PREFIX` names them. */
+  /** The entries by the first two parts of their keys, as listed in `PREFIX`. */
   readonly #entriesByKind = new Map<string, Map<string, Entry>>();
-  /** Deletions, also those that notifications brought ahead of the watch: a late event must not bring the key back. */
+  /** Deletions, including those notified ahead of the watch: a delayed older event must not restore the key. */
   readonly #deletions = new DeletionLog();
   readonly #listeners: Listener[] = [];
   #revision = 0;
@@ -35,60 +35,60 @@
 
   constructor(private readonly context: WatchCacheContext) {}
 
-  /** Whether the copy is complete. */
+  /** Whether the cache contains all live records. */
   get isLoaded(): boolean {
     return this.#loaded;
   }
 
-  /** The revision up to which the copy holds every change. */
+  /** The revision up to which the cache contains every change. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** Steady time at which the last successful watch was sent: everything that was written before it is in the copy. */
+  /** Steady time at which the last successful request was sent: the cache contains everything written before it. */
   get freshAt(): number {
     return this.#freshAt;
   }
 
-  /** Steady time since when the copy has received every change. */
+  /** Steady time since which the cache has received every change. */
   get loadedAt(): number {
     return this.#loadedAt;
   }
 
-  /** Registers a listener that is called after each change of the copy. */
+  /** Registers a listener that is called after each change of the cache. */
   onChange(listener: Listener): void {
     this.#listeners.push(listener);
   }
 
-  /** The entry of a key; undefined when the copy has none. */
+  /** The entry of a key; undefined if the cache has none. */
   get(key: string): Entry | undefined {
     return this.#entries.get(key);
   }
 
-  /** The revision of the key's last change, for a condition; 0 when the copy has no entry. */
+  /** The revision of the key's last change, for a condition; 0 if the cache has no entry. */
   version(key: string): number {
     return this.#entries.get(key)?.version ?? 0;
   }
 
-  /** All entries of a kind; the prefix is two parts of a key, as `PREFIX` names them. */
+  /** All entries of a kind; the prefix is the first two parts of their keys, as listed in `PREFIX`. */
   under(prefix: string): Iterable<Entry> {
     return this.#entriesByKind.get(prefix)?.values() ?? [];
   }
 
-  /** Deletions of a kind of key after a revision, or undefined when not all of them are remembered. */
+  /** Deletions of a kind of key after a revision; undefined if not all of them are remembered. */
   deletedSince(prefix: string, revision: number): Deletion[] | undefined {
     return this.#loaded ? this.#deletions.since(prefix, revision) : undefined;
   }
 
-  /** One step: loads the copy, or watches for changes once. To be run in a loop. */
+  /** One step: loads the cache, or watches for changes once. To be run in a loop. */
   async step(): Promise<void> {
     if (!this.#loaded) {
       await this.#load();
       return;
     }
     const { store, prefix, clock, waitMs, minWatchIntervalMs } = this.context;
-    // A watch ends with the next change of any key. Started again at once, with hundreds of changes a second, all
-    // watches together would use up the limit on requests.
+    // A watch request ends with the next change of any key. Without a minimum interval, hundreds of changes a second
+    // would cause so many watch requests that they use up the rate limit.
     await clock.sleep(this.#watchStartedAt + minWatchIntervalMs - clock.now());
     const sentAt = clock.now();
     this.#watchStartedAt = sentAt;
@@ -101,16 +101,16 @@
     for (const event of changes.events) this.#apply(event);
     this.#revision = Math.max(this.#revision, changes.revision);
     this.#freshAt = sentAt;
-    // Never a deletion that is ahead of the watch: an owner whose copy is as old as this one would get a grant that
-    // lacks it, and a late notification could bring the key back.
+    // Deletions ahead of the watch are kept. Otherwise a lease extension granted to an owner with an equally old cache
+    // would lack them, and a delayed notification could restore a deleted key.
     this.#deletions.trim(this.#revision);
   }
 
-  /** Applies a change that was notified ahead of the watch. */
+  /** Applies a change that was received ahead of the watch, from a peer or in a response. */
   applyNotification(event: ChangeEvent): void {
-    // What the watch has passed already is either here or was changed again since. Before the copy is loaded, or while it
-    // is read again, changes count all the same: a deletion that was left out then, and a page read before it, would be
-    // missing from a grant given before the next watch succeeds.
+    // The cache contains every change up to its revision, or a later change of the same key. A cache that is being loaded
+    // applies changes too: a page may have been read before a deletion, and a lease extension granted before the next
+    // watch succeeds would then lack that deletion.
     if (event.version <= this.#revision) return;
     this.#apply(event);
   }
@@ -132,7 +132,7 @@
       if (!page.more || after === undefined) break;
     }
     this.#deleteUnlisted(listedKeys, firstRevision);
-    // Pages show different moments: the watch goes on from the first and brings all of them to one.
+    // Pages are read at different revisions. The watch continues from the first, which brings all of them up to date.
     this.#revision = firstRevision;
     this.#deletions.startAt(firstRevision);
     this.#freshAt = sentAt;
@@ -155,7 +155,7 @@
     const kind = this.#kindOf(key);
     const deletedAt = this.#deletions.versionOf(kind, key);
     if (deletedAt >= event.version) {
-      // The deletion arrived before any event of the value: only now is it known what was deleted.
+      // The deletion arrived before the value, so listeners get the deletion only now, with the value.
       if (!event.deleted) this.#notify({ key, version: deletedAt, deleted: true }, event.value);
       return;
     }
@@ -176,7 +176,7 @@
     for (const listener of this.#listeners) listener(event, previousValue);
   }
 
-  /** The first two parts of the key, as `PREFIX` names them. */
+  /** The first two parts of the key, as listed in `PREFIX`. */
   #kindOf(key: string): string {
     return key.slice(0, key.indexOf('/', this.context.prefix.length) + 1);
   }
