--- a/src/coordination/autoscaling/scaling-input.ts
+++ b/src/coordination/autoscaling/scaling-input.ts
@@ -93,7 +93,7 @@
       count: Math.min(count, table.unassigned),
       isUrgent: isUrgent(shard, table, maxBootMs),
       slackMs: shard.slackMs(table),
-      zones: shard.usage.zonesOf(id),
+      tasksPerZone: shard.usage.zonesOf(id),
     });
   }
   return work;
--- a/src/coordination/autoscaling/scaling-plan.ts
+++ b/src/coordination/autoscaling/scaling-plan.ts
@@ -35,7 +35,7 @@
   /** How long its tasks can still wait and be in time. */
   readonly slackMs: number;
   /** How many of the job's tasks are, or may be, in each zone. */
-  readonly zones?: ReadonlyMap<string, number>;
+  readonly tasksPerZone?: ReadonlyMap<string, number>;
 }
 
 /** A snapshot of the waiting work and of the fleet. */
@@ -126,7 +126,7 @@
   place(work: UnplacedWork): void {
     const { job } = work;
     // A machine in a zone that the job's other tasks exclude is of no use to it, however many are rented there.
-    const zones: ZoneCounts = new Map(work.zones);
+    const zones: ZoneCounts = new Map(work.tasksPerZone);
     let left = work.count - this.#absorb(work, zones);
     // Rooms only shrink and zones only fill: a bin without room for one task of a job has none for the job's next.
     let index = 0;
--- a/test/zone-constraints.test.ts
+++ b/test/zone-constraints.test.ts
@@ -88,7 +88,9 @@
   const rented = (fields: Partial<Job>, count: number, zones: [string, number][]): unknown[] =>
     planScaling({
       ...input,
-      unplaced: [{ job: { ...array, ...fields }, count, isUrgent: true, slackMs: 0, zones: new Map(zones) }],
+      unplaced: [
+        { job: { ...array, ...fields }, count, isUrgent: true, slackMs: 0, tasksPerZone: new Map(zones) },
+      ],
     }).scaleOut.map((r) => `${r.zone} ${r.count}`);
   assert.deepEqual(rented({}, 8, [['a', 8]]), ['b 1']);
   assert.deepEqual(rented({ oneZone: true }, 8, [['a', 8]]), ['a 2']);
