--- a/src/coordination/autoscaling/scaling-input.ts
+++ b/src/coordination/autoscaling/scaling-input.ts
@@ -1,7 +1,7 @@
 /** @file The snapshot of a shard's waiting work and fleet on which scaling decides. */
 import { PRIORITY_RANK } from '../../protocol/model';
 import type { ControllerContext } from '../controller-context';
-import { jobHoldingRoom, remainingRunS } from '../scheduling/machine-snapshot';
+import { jobOccupyingResources, remainingRunS } from '../scheduling/machine-snapshot';
 import type { DispatchTable } from '../shard/dispatch-table';
 import type { Machine } from '../shard/machine';
 import type { Shard } from '../shard/shard';
@@ -60,7 +60,7 @@
     if (isSchedulable) fleet.freeCpus += Math.max(0, machine.freeCpus);
     const patienceMs = machine.type.bootS * 1000 * rent_patience;
     for (const attempt of machine.attempts.values()) {
-      const job = jobHoldingRoom(shard, attempt);
+      const job = jobOccupyingResources(shard, attempt);
       if (!job) continue;
       const remainingMs = remainingRunS(shard, attempt, job, now) * 1000;
       if (remainingMs < patienceMs) fleet.freeingCpus += attempt.resources.cpus;
--- a/src/coordination/scheduling/chain-urgency.ts
+++ b/src/coordination/scheduling/chain-urgency.ts
@@ -18,7 +18,7 @@
   /** Time of day of its own deadline. */
   readonly dueAt: number | undefined;
   /** How long its tasks should run. */
-  readonly runMs: number;
+  readonly expectedRunMs: number;
 }
 
 function earlier(first: number | undefined, second: number | undefined): number | undefined {
@@ -76,7 +76,7 @@
   }
   for (let id = ready.pop(); id !== undefined; id = ready.pop()) {
     const ofDependent = urgencies.get(id);
-    const runMs = jobs.get(id)?.runMs ?? 0;
+    const runMs = jobs.get(id)?.expectedRunMs ?? 0;
     for (const dependency of graph.dependenciesOf(id)) {
       const own = urgencies.get(dependency);
       if (ofDependent && own) urgencies.set(dependency, inheritUrgency(own, ofDependent, runMs));
@@ -112,6 +112,6 @@
     if (!record) return undefined;
     const { priority, deadlineS, estimateS } = record.job;
     const dueAt = deadlineS === null ? undefined : record.submittedAt + deadlineS * 1000;
-    return { priority, dueAt, runMs: estimateS * 1000 };
+    return { priority, dueAt, expectedRunMs: estimateS * 1000 };
   }
 }
--- a/src/coordination/scheduling/eager-reissue.ts
+++ b/src/coordination/scheduling/eager-reissue.ts
@@ -5,9 +5,13 @@
 import type { Machine } from '../shard/machine';
 import type { Shard } from '../shard/shard';
 import { fitsInto, isEligible } from './constraints';
-import { chooseEagerCandidates, type EagerResult, type MonitoredMachine } from './eager';
 import {
-  jobHoldingRoom,
+  chooseUnresponsiveMachines,
+  type UnresponsiveMachinesResult,
+  type MonitoredMachine,
+} from './unresponsive-machines';
+import {
+  jobOccupyingResources,
   snapshotMachine,
   snapshotSchedulable,
   type MachineSnapshot,
@@ -29,7 +33,7 @@
 
   /** Returns machines that failed; evicts their tasks where all that waits has found room. */
   run(now: number, isBacklogEmpty: boolean): void {
-    const { candidates, toReturn } = this.#decide(now);
+    const { toEvictFrom: candidates, toRelease: toReturn } = this.#decide(now);
     for (const id of toReturn) this.shard.machines.get(id)?.drain('unresponsive');
     if (candidates.length === 0 || !isBacklogEmpty) return;
     if (!this.context.eventLoopDelay.allowsOptimization) return;
@@ -40,14 +44,14 @@
     }
   }
 
-  #decide(now: number): EagerResult {
+  #decide(now: number): UnresponsiveMachinesResult {
     const { heartbeatTimeoutMs, unresponsiveReleaseMs } = this.shard.timing;
-    return chooseEagerCandidates({
+    return chooseUnresponsiveMachines({
       machines: this.#monitoredMachines(),
       now,
       heartbeatTimeoutMs,
-      returnAfterMs: unresponsiveReleaseMs,
-      shardBlockedMs: SHARD_BLOCKED_MS,
+      releaseAfterMs: unresponsiveReleaseMs,
+      blockingMachineTimeoutMs: SHARD_BLOCKED_MS,
     });
   }
 
@@ -74,7 +78,7 @@
   /** Evicts each task of the machine that has room elsewhere, and takes that room from `rooms`. */
   #evictTasks(machine: Machine, rooms: readonly MachineSnapshot[]): void {
     for (const attempt of machine.attempts.values()) {
-      const job = jobHoldingRoom(this.shard, attempt);
+      const job = jobOccupyingResources(this.shard, attempt);
       if (!job || attempt.eviction || !takeRoom(job, rooms)) continue;
       this.context.log.info(
         { job: job.id, task: attempt.task, machine: machine.id },
--- a/src/coordination/scheduling/job-queue.ts
+++ b/src/coordination/scheduling/job-queue.ts
@@ -7,14 +7,14 @@
   readonly job: Job;
   readonly waitingTasks: number;
   /** How many of its tasks are, or may be, in each zone. */
-  readonly zones: ReadonlyMap<string, number>;
+  readonly tasksPerZone: ReadonlyMap<string, number>;
   /** How long its tasks can still wait and be in time; negative when it is late already. */
   readonly slackMs: number;
   /** CPU seconds that its tasks still need. */
   readonly remainingCpuS: number;
   readonly machinesToAvoid: ReadonlySet<string>;
   /** How long a task of it should run. */
-  readonly runS: number;
+  readonly expectedRunS: number;
   /** It has waited so long that it gets some room with a priority boost. */
   readonly isBoosted: boolean;
   /** A task of it has been issued or is done. */
--- a/src/coordination/scheduling/lease-expiry.ts
+++ b/src/coordination/scheduling/lease-expiry.ts
@@ -20,7 +20,7 @@
   }
 
   /** The same, if a controller relays leases of the shard. */
-  assumeRelayedRenewed(now: number): void {
+  assumeRenewedIfRelayed(now: number): void {
     if (this.shard.isRelayed) this.assumeAllRenewed(now);
   }
 
@@ -34,7 +34,7 @@
     if (!(await this.shard.confirmNotRelayed())) return;
     // What was relayed until a moment ago is in our view by now.
     const now = this.context.clock.now();
-    this.assumeRelayedRenewed(now);
+    this.assumeRenewedIfRelayed(now);
     for (const machine of this.#expired(now)) {
       this.context.log.info({ machine: machine.id, attempts: machine.attempts.size }, 'worker lease expired');
       this.attempts.dropAllAttempts(machine);
--- a/src/coordination/scheduling/machine-snapshot.ts
+++ b/src/coordination/scheduling/machine-snapshot.ts
@@ -45,7 +45,7 @@
 ): T[] {
   const snapshots: T[] = [];
   for (const attempt of machine.attempts.values()) {
-    const job = jobHoldingRoom(shard, attempt);
+    const job = jobOccupyingResources(shard, attempt);
     const snapshot = job && describe(attempt, job);
     if (snapshot !== undefined) snapshots.push(snapshot);
   }
@@ -53,7 +53,7 @@
 }
 
 /** The job of an attempt that holds room; undefined when the attempt has exited, or nothing is known of its job. */
-export function jobHoldingRoom(shard: Shard, attempt: Attempt): Job | undefined {
+export function jobOccupyingResources(shard: Shard, attempt: Attempt): Job | undefined {
   return occupiesResources(attempt) ? shard.tables.get(attempt.job)?.job : undefined;
 }
 
--- a/src/coordination/scheduling/placement-pass.ts
+++ b/src/coordination/scheduling/placement-pass.ts
@@ -5,7 +5,12 @@
 import type { Shard } from '../shard/shard';
 import { RESOURCE_TOLERANCE } from './constraints';
 import type { QueueEntry } from './job-queue';
-import { jobHoldingRoom, remainingRunS, snapshotMachine, snapshotSchedulable } from './machine-snapshot';
+import {
+  jobOccupyingResources,
+  remainingRunS,
+  snapshotMachine,
+  snapshotSchedulable,
+} from './machine-snapshot';
 import { placeTasks, type PlacementCandidate, type PlacementInput } from './placement';
 
 /** Places the tasks of a queue; knows how far it came, and what found no room. */
@@ -42,7 +47,7 @@
   }
 
   /** Nothing waits. */
-  finishIdle(): void {
+  completeEmptyQueue(): void {
     this.#unplaced.clear();
     this.#cursor = 0;
     this.#isComplete = true;
@@ -103,7 +108,7 @@
   #busyForS(machine: Machine, now: number): number {
     let longestS = 0;
     for (const attempt of machine.attempts.values()) {
-      const job = jobHoldingRoom(this.shard, attempt);
+      const job = jobOccupyingResources(this.shard, attempt);
       if (!job || attempt.eviction) continue;
       longestS = Math.max(longestS, remainingRunS(this.shard, attempt, job, now), 1);
     }
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -133,7 +133,7 @@
     if (!quota) return undefined;
     const usage = this.#usageByTeam.get(job.team) ?? { cpus: 0, gpus: 0 };
     this.#usageByTeam.set(job.team, usage);
-    const zones = this.#zonesByJob.get(job.id) ?? new Map(waiting.zones);
+    const zones = this.#zonesByJob.get(job.id) ?? new Map(waiting.tasksPerZone);
     this.#zonesByJob.set(job.id, zones);
     const tasksLeft = waiting.waitingTasks - (this.#placedByJob.get(job.id) ?? 0);
     return { waiting, job, kind, quota, usage, zones, tasksLeft };
@@ -235,7 +235,11 @@
 }
 
 /** How well a task suits a machine with room for it: a cached image counts most, then how little room is left over. */
-function score({ job, runS }: WaitingJob, machine: PlacementCandidate, free: Resources): number {
+function score(
+  { job, expectedRunS: runS }: WaitingJob,
+  machine: PlacementCandidate,
+  free: Resources,
+): number {
   const cached = machine.cachedImages.has(job.image) ? 4 : 0;
   const cpuLeft = (free.cpus - job.cpus) / machine.type.cpus;
   const memoryLeft = (free.memoryGb - job.memoryGb) / machine.type.memoryGb;
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -158,7 +158,7 @@
     const plans: EvictionPlan[] = [];
     for (const machine of this.input.machines) {
       if (!isEligible(job, machine) || waiting.machinesToAvoid.has(machine.id)) continue;
-      if (!zoneConstraintsAllow(job, waiting.zones, machine.zone)) continue;
+      if (!zoneConstraintsAllow(job, waiting.tasksPerZone, machine.zone)) continue;
       const plan = this.#planFor(job, machine);
       if (plan) plans.push(plan);
     }
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -46,7 +46,7 @@
 
   /** What need not be done with every message: passes over all machines, on a clock. */
   runPeriodicTasks(now: number): void {
-    this.#leaseExpiry.assumeRelayedRenewed(now);
+    this.#leaseExpiry.assumeRenewedIfRelayed(now);
     evictBeforeSpotNotices(this.shard, this.attempts, now);
     this.#eagerReissue.run(now, this.#placement.isBacklogEmpty);
     this.#retirement.run(now);
@@ -55,11 +55,11 @@
   }
 
   /** Finds room for what waits. True: the time was up before all had their turn. */
-  round(now: number): boolean {
+  runRound(now: number): boolean {
     this.attempts.evictSurplus();
     const jobs = waitingJobs(this.shard, this.context.settings.operator.aged_s * 1000, now);
     if (jobs.length === 0) {
-      this.#placement.finishIdle();
+      this.#placement.completeEmptyQueue();
       return false;
     }
     const timeIsUp = this.#startBudget();
--- a/src/coordination/scheduling/spot-notices.ts
+++ b/src/coordination/scheduling/spot-notices.ts
@@ -2,13 +2,13 @@
 import type { Job } from '../../protocol/model';
 import type { AttemptManager } from '../shard/attempt-manager';
 import type { Shard } from '../shard/shard';
-import { jobHoldingRoom, remainingRunS } from './machine-snapshot';
+import { jobOccupyingResources, remainingRunS } from './machine-snapshot';
 
 /** Time that must be left between the planned end of a task or of its saving and the end of the machine. */
 const NOTICE_MARGIN_MS = 1_500;
 
 /** A task on a machine that the cloud takes back. */
-export interface TaskUnderNotice {
+export interface TaskUnderSpotNotice {
   readonly job: Job;
   /** It runs at this moment, so it can still end or save in time; while it fetches its image it has done nothing yet. */
   readonly isRunning: boolean;
@@ -19,10 +19,10 @@
 }
 
 /** What becomes of a task under notice: it continues for now, or is evicted with time to save. */
-export type NoticeDecision = { kind: 'continue' } | { kind: 'evict'; graceS: number };
+export type SpotNoticeAction = { kind: 'continue' } | { kind: 'evict'; graceS: number };
 
 /** Decides whether a task under notice is evicted now. */
-export function decideUnderNotice(task: TaskUnderNotice): NoticeDecision {
+export function spotNoticeAction(task: TaskUnderSpotNotice): SpotNoticeAction {
   const { job, isRunning, remainingMs, noticeMs } = task;
   if (isRunning && remainingMs < noticeMs - NOTICE_MARGIN_MS) return { kind: 'continue' };
   const graceS = job.checkpointS > 0 && isRunning ? job.saveS : 0;
@@ -37,9 +37,9 @@
     if (machine.spotNoticeDeadline === undefined) continue;
     machine.drain('spot notice');
     for (const attempt of machine.attempts.values()) {
-      const job = jobHoldingRoom(shard, attempt);
+      const job = jobOccupyingResources(shard, attempt);
       if (!job || attempt.eviction) continue;
-      const decision = decideUnderNotice({
+      const decision = spotNoticeAction({
         job,
         isRunning: attempt.phase === 'running',
         remainingMs: remainingRunS(shard, attempt, job, now) * 1000,
--- a/src/coordination/scheduling/eager.ts
+++ b/src/coordination/scheduling/unresponsive-machines.ts
@@ -12,23 +12,23 @@
 }
 
 /** A snapshot of the machines, with the times after which missing heartbeats have consequences. */
-export interface EagerInput {
+export interface UnresponsiveMachinesInput {
   readonly machines: readonly MonitoredMachine[];
   readonly now: number;
   /** After this long without a heartbeat a machine's tasks are candidates. */
   readonly heartbeatTimeoutMs: number;
   /** After this long the end of its tasks is confirmed by returning the machine. */
-  readonly returnAfterMs: number;
+  readonly releaseAfterMs: number;
   /** The same for a machine that blocks the shard. */
-  readonly shardBlockedMs: number;
+  readonly blockingMachineTimeoutMs: number;
 }
 
 /** What to do about machines that send no heartbeats. */
-export interface EagerResult {
+export interface UnresponsiveMachinesResult {
   /** Machines whose tasks should be evicted and issued again, the longest unresponsive first. */
-  candidates: string[];
+  toEvictFrom: string[];
   /** Those of them to be returned: the quickest way to know that their tasks are gone. */
-  toReturn: string[];
+  toRelease: string[];
 }
 
 /** Up to so many unresponsive machines in one zone, or in all, have failed by themselves. */
@@ -37,28 +37,28 @@
 const PARTITION_SHARE = 0.3;
 
 /** Chooses the machines whose heartbeats stopped through their own failure, and which of them to return. */
-export function chooseEagerCandidates(input: EagerInput): EagerResult {
+export function chooseUnresponsiveMachines(input: UnresponsiveMachinesInput): UnresponsiveMachinesResult {
   const unresponsive = input.machines.filter((machine) => isUnresponsive(machine, input));
   unresponsive.sort((a, b) => sinceHeartbeatMs(b, input) - sinceHeartbeatMs(a, input));
   const failed = withoutPartitions(unresponsive, input.machines);
   return {
-    candidates: failed.filter((machine) => machine.isBusy).map((machine) => machine.id),
-    toReturn: failed.filter((machine) => isToBeReturned(machine, input)).map((machine) => machine.id),
+    toEvictFrom: failed.filter((machine) => machine.isBusy).map((machine) => machine.id),
+    toRelease: failed.filter((machine) => isToBeReturned(machine, input)).map((machine) => machine.id),
   };
 }
 
-function sinceHeartbeatMs(machine: MonitoredMachine, { now }: EagerInput): number {
+function sinceHeartbeatMs(machine: MonitoredMachine, { now }: UnresponsiveMachinesInput): number {
   return now - machine.lastHeartbeatAt;
 }
 
-function isUnresponsive(machine: MonitoredMachine, input: EagerInput): boolean {
-  const { heartbeatTimeoutMs, shardBlockedMs } = input;
+function isUnresponsive(machine: MonitoredMachine, input: UnresponsiveMachinesInput): boolean {
+  const { heartbeatTimeoutMs, blockingMachineTimeoutMs: shardBlockedMs } = input;
   const limitMs = machine.blocksShard ? Math.min(heartbeatTimeoutMs, shardBlockedMs) : heartbeatTimeoutMs;
   return sinceHeartbeatMs(machine, input) > limitMs;
 }
 
-function isToBeReturned(machine: MonitoredMachine, input: EagerInput): boolean {
-  const { returnAfterMs, shardBlockedMs } = input;
+function isToBeReturned(machine: MonitoredMachine, input: UnresponsiveMachinesInput): boolean {
+  const { releaseAfterMs: returnAfterMs, blockingMachineTimeoutMs: shardBlockedMs } = input;
   const limitMs = machine.blocksShard ? Math.min(shardBlockedMs, returnAfterMs) : returnAfterMs;
   return sinceHeartbeatMs(machine, input) > limitMs;
 }
--- a/src/coordination/scheduling/waiting-jobs.ts
+++ b/src/coordination/scheduling/waiting-jobs.ts
@@ -25,17 +25,17 @@
   now: number,
 ): WaitingJob {
   const { job } = table;
-  const runS = shard.runTimes.runTimeS(job);
+  const expectedRunS = shard.runTimes.runTimeS(job);
   const slackMs = shard.slackMs(table);
   const hasStarted = table.done > 0 || table.issued.size > 0;
   return {
     job,
     waitingTasks: table.unassigned,
-    zones: shard.usage.zonesOf(job.id),
+    tasksPerZone: shard.usage.zonesOf(job.id),
     slackMs,
-    remainingCpuS: table.remaining * job.cpus * runS,
+    remainingCpuS: table.remaining * job.cpus * expectedRunS,
     machinesToAvoid: table.machinesToAvoid(now),
-    runS,
+    expectedRunS,
     // However much that is smaller or more urgent comes in: the oldest get some room with a priority boost, for
     // otherwise a large job that is late would wait for as long as the surplus lasts.
     isBoosted:
--- a/src/coordination/shard/round-loop.ts
+++ b/src/coordination/shard/round-loop.ts
@@ -59,7 +59,7 @@
     if (signal.aborted || !this.shard.entitled) return;
     const now = clock.now();
     this.#runPeriodicTasks(now);
-    const isUnfinished = !this.shard.isAwaitingWorkers(now) && this.#scheduler.round(now);
+    const isUnfinished = !this.shard.isAwaitingWorkers(now) && this.#scheduler.runRound(now);
     this.#dispatcher.flush();
     if (this.#handover) this.#traceProgress(this.#handover, isUnfinished);
     this.#logSummary(now);
--- a/test/decision-inputs.ts
+++ b/test/decision-inputs.ts
@@ -47,11 +47,11 @@
   return {
     job: j,
     waitingTasks: j.tasks,
-    zones: new Map(),
+    tasksPerZone: new Map(),
     slackMs,
     remainingCpuS: work,
     machinesToAvoid: new Set(),
-    runS: 10,
+    expectedRunS: 10,
     isBoosted: false,
     hasStarted: false,
     submittedAt: 0,
--- a/test/scaling-plan.test.ts
+++ b/test/scaling-plan.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { chooseConsolidation } from '../src/coordination/scheduling/consolidation';
-import { chooseEagerCandidates } from '../src/coordination/scheduling/eager';
+import { chooseUnresponsiveMachines } from '../src/coordination/scheduling/unresponsive-machines';
 import { planScaling, type ScalingInput } from '../src/coordination/autoscaling/scaling-plan';
 import { job, roomy, type } from './decision-inputs';
 
@@ -15,21 +15,21 @@
     blocksShard: false,
   }));
   const ask = (silent: (id: string) => boolean, heardAt = 90_000, blocksShard = false) =>
-    chooseEagerCandidates({
+    chooseUnresponsiveMachines({
       machines: fleet.map((m) => (silent(m.id) ? { ...m, lastHeartbeatAt: heardAt, blocksShard } : m)),
       now: 100_000,
       heartbeatTimeoutMs: 2_000,
-      returnAfterMs: 12_000,
-      shardBlockedMs: 5_000,
+      releaseAfterMs: 12_000,
+      blockingMachineTimeoutMs: 5_000,
     });
   assert.deepEqual(
     ask((id) => id === 'm3'),
-    { candidates: ['m3'], toReturn: [] },
+    { toEvictFrom: ['m3'], toRelease: [] },
   );
-  assert.deepEqual(ask((id) => id === 'm3', 80_000).toReturn, ['m3']);
+  assert.deepEqual(ask((id) => id === 'm3', 80_000).toRelease, ['m3']);
   // One that holds up a shard that was taken over is given up sooner.
-  assert.deepEqual(ask((id) => id === 'm3', 94_000, true).toReturn, ['m3']);
-  assert.deepEqual(ask((id) => id < 'm5', 80_000).toReturn, []);
+  assert.deepEqual(ask((id) => id === 'm3', 94_000, true).toRelease, ['m3']);
+  assert.deepEqual(ask((id) => id < 'm5', 80_000).toRelease, []);
 });
 
 test('machines are rented for the backlog only, the cheapest first, and kept for what they have cost', () => {
