--- a/src/coordination/shard/attempt-manager.ts
+++ b/src/coordination/shard/attempt-manager.ts
@@ -79,11 +79,12 @@
   /** The job is over: all that runs of it is stopped. */
   closeJob(id: string): void {
     if (!this.shard.tables.delete(id)) return;
-    for (const [attempt, machine] of this.shard.usage.attemptsOf(id)) this.#evictOfEndedJob(machine, attempt);
+    for (const [attempt, machine] of this.shard.usage.attemptsOf(id))
+      this.#evictForEndedJob(machine, attempt);
     this.shard.wake();
   }
 
-  #evictOfEndedJob(machine: Machine, attempt: Attempt): void {
+  #evictForEndedJob(machine: Machine, attempt: Attempt): void {
     this.#endedJobAttempts.add(attempt, machine, this.context.clock.now());
     this.evict(machine, attempt, 0);
   }
@@ -106,19 +107,19 @@
   apply(machine: Machine, changes: readonly AttemptChange[]): void {
     for (const { kind, attempt } of changes) {
       const table = this.shard.tables.get(attempt.job);
-      if (kind === 'found') this.#found(machine, attempt, table);
-      else if (kind === 'exited') this.#exited(machine, attempt, table);
-      else if (kind === 'gone' && table) this.#lost(table, attempt);
+      if (kind === 'found') this.#onFound(machine, attempt, table);
+      else if (kind === 'exited') this.#onExited(machine, attempt, table);
+      else if (kind === 'gone' && table) this.#onLost(table, attempt);
     }
     if (changes.length === 0) return;
     if (!machine.isBusy) machine.restartIdleTime(this.context.clock.now());
     this.shard.wake();
   }
 
-  #found(machine: Machine, attempt: Attempt, table: DispatchTable | undefined): void {
+  #onFound(machine: Machine, attempt: Attempt, table: DispatchTable | undefined): void {
     if (attempt.phase === 'exited') return;
     if (!table) {
-      this.#evictOfEndedJob(machine, attempt);
+      this.#evictForEndedJob(machine, attempt);
     } else if (table.isUnassigned(attempt.task)) {
       table.issue(attempt.task, machine.id, attempt.key);
     } else {
@@ -131,7 +132,7 @@
    * failover a heartbeat that was held up may show one that has long been replaced, and what the table then held for
    * the task was the wrong one of two.
    */
-  #lost(table: DispatchTable, attempt: Attempt): void {
+  #onLost(table: DispatchTable, attempt: Attempt): void {
     if (!table.markLost(attempt.task, attempt.key)) return;
     for (const [other, machine] of this.shard.usage.attemptsOf(attempt.job)) {
       if (other.task !== attempt.task || other.key === attempt.key) continue;
@@ -152,18 +153,18 @@
     }
   }
 
-  #exited(machine: Machine, attempt: Attempt, table: DispatchTable | undefined): void {
+  #onExited(machine: Machine, attempt: Attempt, table: DispatchTable | undefined): void {
     const { job, task, exitCause } = attempt;
     if (exitCause !== 'stopped')
       this.context.log.debug({ job, task, machine: machine.id, cause: exitCause }, 'attempt ended');
     if (!table) return;
-    if (exitCause === 'done') this.#completed(machine, attempt, table);
-    else this.#notCompleted(machine, attempt, table);
+    if (exitCause === 'done') this.#onCompleted(machine, attempt, table);
+    else this.#onNotCompleted(machine, attempt, table);
   }
 
-  #notCompleted(machine: Machine, attempt: Attempt, table: DispatchTable): void {
+  #onNotCompleted(machine: Machine, attempt: Attempt, table: DispatchTable): void {
     const { job, task, exitCause } = attempt;
-    this.#lost(table, attempt);
+    this.#onLost(table, attempt);
     const now = this.context.clock.now();
     if (exitCause === 'error') {
       table.onTaskFailed(machine.id, now);
@@ -180,7 +181,7 @@
     }
   }
 
-  #completed(machine: Machine, attempt: Attempt, table: DispatchTable): void {
+  #onCompleted(machine: Machine, attempt: Attempt, table: DispatchTable): void {
     const { job, task, runningSince } = attempt;
     if (table.complete(task)) {
       if (runningSince !== undefined) {
--- a/src/coordination/shard/command-client.ts
+++ b/src/coordination/shard/command-client.ts
@@ -13,7 +13,7 @@
   /** Unanswered. It may have been executed, and may still be, much later. */
   | { kind: 'unknown' };
 
-const TIMEOUT_MS = 2_000;
+const COMMAND_TIMEOUT_MS = 2_000;
 
 /** Commands to a worker, and under what they are sent. */
 export interface CommandRequest {
@@ -30,7 +30,9 @@
   const { address, fencingToken, incarnation, commands } = request;
   const body = writeCommandRequest(fencingToken, incarnation, commands);
   try {
-    const response = await http.call(address, 'POST', '/do', body, TIMEOUT_MS, () => request.maySend());
+    const response = await http.call(address, 'POST', '/do', body, COMMAND_TIMEOUT_MS, () =>
+      request.maySend(),
+    );
     const heartbeat = parseHeartbeat(response.body);
     if (response.status === 200 && heartbeat) return { kind: 'done', heartbeat };
     if (response.status === 409 || response.status === 400) return { kind: 'refused', heartbeat };
--- a/src/coordination/shard/command-dispatcher.ts
+++ b/src/coordination/shard/command-dispatcher.ts
@@ -60,11 +60,11 @@
 
   /** Sends what is pending, as far as sockets allow; the rest goes out as answers come in. */
   flush(): void {
-    const most = this.shard.isAwaitingWorkers(this.context.clock.now())
+    const maxInFlight = this.shard.isAwaitingWorkers(this.context.clock.now())
       ? MAX_IN_FLIGHT_WHILE_AWAITING_WORKERS
       : this.#maxInFlight;
     for (const machine of this.#queue) {
-      if (this.#inFlight.size >= most || !this.shard.entitled) return;
+      if (this.#inFlight.size >= maxInFlight || !this.shard.entitled) return;
       if (this.#inFlight.has(machine)) continue;
       this.#queue.delete(machine);
       this.#send(machine, 'pending');
@@ -89,7 +89,7 @@
   #send(machine: Machine, reason: SendReason): void {
     if (machine.record.address === '' || machine.isTerminated || !this.shard.entitled) return;
     const unsent = [...machine.attempts.values()].filter((attempt) => !attempt.wasStartSent);
-    this.#discardUnwanted(machine, unsent);
+    this.#discardInvalidStarts(machine, unsent);
     // Commands to an unresponsive machine hold no starts: they would be stuck there.
     const startPolicy = machine.unresponsiveSince === undefined ? 'with starts' : 'without starts';
     const commands = commandsFor(machine, this.shard.tables, startPolicy);
@@ -106,21 +106,21 @@
       commands,
       maySend: () => this.shard.entitled,
     };
-    this.#follow({ machine, incarnation, starts }, request);
+    this.#sendAndHandleResult({ machine, incarnation, starts }, request);
   }
 
   /**
    * A start that has not left and is no longer wanted never will. Nor will one that was numbered under an earlier token:
    * its number must name the token that it is sent with, for that is what ends all doubt about it.
    */
-  #discardUnwanted(machine: Machine, unsent: readonly Attempt[]): void {
+  #discardInvalidStarts(machine: Machine, unsent: readonly Attempt[]): void {
     for (const attempt of unsent) {
       if (attempt.eviction || fencingTokenOf(attempt.number) !== this.shard.fencingToken)
         this.#attempts.discardUnstarted(machine, attempt.key);
     }
   }
 
-  #follow(sent: SentCommand, request: CommandRequest): void {
+  #sendAndHandleResult(sent: SentCommand, request: CommandRequest): void {
     const { machine } = sent;
     void sendCommands(this.context.workers, request)
       .then((result) => {
@@ -148,10 +148,10 @@
     machine.worker.commandAnswered();
     if (result.heartbeat) this.#reconciler.reconcile(machine, result.heartbeat);
     if (result.kind === 'refused') this.#discardUnstarted(machine, sent.starts);
-    this.#noteUnconfirmedStarts(sent);
+    this.#flagUnconfirmedStarts(sent);
     // The first command to a machine whose session is not known yet is refused; the answer names it.
-    const isSessionNews = !machine.isConfirmed && machine.worker.incarnation !== sent.incarnation;
-    if (isSessionNews) this.#send(machine, 'probe');
+    const isNewIncarnation = !machine.isConfirmed && machine.worker.incarnation !== sent.incarnation;
+    if (isNewIncarnation) this.#send(machine, 'probe');
     else if (result.kind === 'done') this.#send(machine, 'pending');
     // One that refuses for another reason is sent commands again at the pace of rounds.
     else this.#queue.add(machine);
@@ -167,7 +167,7 @@
       machine.worker.commandUnanswered(now);
     }
     machine.backOff(now);
-    this.#noteUnconfirmedStarts(sent);
+    this.#flagUnconfirmedStarts(sent);
     this.context.log.debug({ machine: machine.id, result: kind }, 'command unanswered');
     // What was placed here meanwhile goes elsewhere: the machine may be hanging.
     const unsent = [...machine.attempts.values()].filter((attempt) => !attempt.wasStartSent);
@@ -179,7 +179,7 @@
     for (const attempt of attempts) this.#attempts.discardUnstarted(machine, attempt.key);
   }
 
-  #noteUnconfirmedStarts({ machine, starts }: SentCommand): void {
+  #flagUnconfirmedStarts({ machine, starts }: SentCommand): void {
     if (starts.some((a) => a.phase === 'starting' && machine.attempts.get(a.key) === a))
       this.shard.hasUnconfirmedStarts = true;
   }
--- a/src/coordination/shard/ended-job-attempts.ts
+++ b/src/coordination/shard/ended-job-attempts.ts
@@ -27,8 +27,8 @@
   /** Whether an overdue one may still start on the machine. */
   hasUnconfirmedStartOn(machine: Machine, now: number): boolean {
     if (this.#machines.size === 0) return false;
-    for (const [attempt, where] of this.overdue(now)) {
-      if (where === machine && machine.worker.isStartUnconfirmed(attempt)) return true;
+    for (const [attempt, attemptMachine] of this.overdue(now)) {
+      if (attemptMachine === machine && machine.worker.isStartUnconfirmed(attempt)) return true;
     }
     return false;
   }
--- a/src/coordination/shard/heartbeat-handler.ts
+++ b/src/coordination/shard/heartbeat-handler.ts
@@ -89,9 +89,9 @@
 
   #answerVerified(machine: Machine, heartbeat: WorkerHeartbeat): OwnerResponse {
     const now = this.context.clock.now();
-    const isNews = machine.worker.isNewer(heartbeat);
+    const isNew = machine.worker.isNewer(heartbeat);
     this.#reconciler.reconcile(machine, heartbeat);
-    if (isNews) machine.worker.leaseRenewed(now);
+    if (isNew) machine.worker.leaseRenewed(now);
     if (this.#attempts.hasUnconfirmedStartOfEndedJob(machine, now)) return UNDECIDED;
     const commands = commandsFor(machine, this.shard.tables, 'without starts');
     // Counted from now, which is later than when the worker sent the heartbeat: its own lease ends before ours of it.
--- a/src/coordination/shard/machine-confirmation.ts
+++ b/src/coordination/shard/machine-confirmation.ts
@@ -2,9 +2,9 @@
 import type { Machine } from './machine';
 
 /** So many machines that are not confirmed yet hold nothing up: they are probed. */
-const FEW_UNCONFIRMED = 64;
+const MAX_UNCONFIRMED_WITHOUT_WAIT = 64;
 /** After a failover the first workers come within this time, and each next one. */
-const ARRIVAL_INTERVAL_MS = 1_500;
+const MAX_CONFIRMATION_GAP_MS = 1_500;
 
 /** Machines that an earlier owner's starts may still reach, and when the last of them was confirmed. */
 export class MachineConfirmation {
@@ -40,10 +40,10 @@
    * them come.
    */
   isAwaitingWorkers(now: number): boolean {
-    if (this.#unconfirmed.size <= FEW_UNCONFIRMED) return false;
+    if (this.#unconfirmed.size <= MAX_UNCONFIRMED_WITHOUT_WAIT) return false;
     return (
       now < this.acquiredAt + this.heartbeatWindowMs &&
-      now < Math.max(this.acquiredAt, this.#lastConfirmationAt) + ARRIVAL_INTERVAL_MS
+      now < Math.max(this.acquiredAt, this.#lastConfirmationAt) + MAX_CONFIRMATION_GAP_MS
     );
   }
 }
--- a/src/coordination/shard/machine-registration.ts
+++ b/src/coordination/shard/machine-registration.ts
@@ -7,8 +7,8 @@
 import type { Machine } from './machine';
 import type { Shard } from './shard';
 
-const GATHER_MS = 40;
-const MAX_RECORDS_AT_ONCE = 12;
+const BATCHING_DELAY_MS = 40;
+const MAX_RECORDS_PER_TRANSACTION = 12;
 
 /** What became of the record of a machine. `conflict`: another writer changed it meanwhile. */
 export type RegistrationOutcome = 'recorded' | 'conflict' | 'failed';
@@ -77,10 +77,13 @@
 
   async #writeAll(): Promise<void> {
     this.#isWriting = true;
-    await this.context.clock.sleep(GATHER_MS);
+    await this.context.clock.sleep(BATCHING_DELAY_MS);
     while (this.#pending.size > 0) {
-      const most = changesAtOnce(this.context.settings.platform.deployment.state, MAX_RECORDS_AT_ONCE);
-      const batch = [...this.#pending.values()].slice(0, most);
+      const maxRecords = changesAtOnce(
+        this.context.settings.platform.deployment.state,
+        MAX_RECORDS_PER_TRANSACTION,
+      );
+      const batch = [...this.#pending.values()].slice(0, maxRecords);
       const outcomes = await this.#write(batch);
       for (const pending of batch) {
         this.#pending.delete(pending.id);
@@ -94,18 +97,18 @@
   async #write(batch: readonly PendingRecord[]): Promise<Map<PendingRecord, RegistrationOutcome>> {
     const outcomes = new Map<PendingRecord, RegistrationOutcome>();
     try {
-      let open = batch.flatMap((pending) => this.#prepare(pending) ?? []);
-      while (open.length > 0) {
-        const failed = await this.#writeTogether(open);
+      let unwritten = batch.flatMap((pending) => this.#prepare(pending) ?? []);
+      while (unwritten.length > 0) {
+        const failed = await this.#writeInTransaction(unwritten);
         if (failed === undefined) {
-          for (const { pending } of open) outcomes.set(pending, 'recorded');
+          for (const { pending } of unwritten) outcomes.set(pending, 'recorded');
           break;
         }
         // A record that changed meanwhile holds up no other.
-        const conflicts = open.filter(({ condition }) => failed.includes(condition.key));
+        const conflicts = unwritten.filter(({ condition }) => failed.includes(condition.key));
         for (const { pending } of conflicts) outcomes.set(pending, 'conflict');
         if (conflicts.length === 0) break;
-        open = open.filter((write) => !conflicts.includes(write));
+        unwritten = unwritten.filter((write) => !conflicts.includes(write));
       }
     } catch (error) {
       this.context.log.info({ err: describeError(error) }, 'machines could not be registered as up');
@@ -126,17 +129,17 @@
   }
 
   /** One transaction. Undefined: it was carried out; otherwise the keys whose conditions failed. */
-  async #writeTogether(writes: readonly RecordWrite[]): Promise<string[] | undefined> {
+  async #writeInTransaction(writes: readonly RecordWrite[]): Promise<string[] | undefined> {
     const result = await this.context.store.compareAndSwap(
       [this.shard.leaseCondition(), ...writes.map(({ condition }) => condition)],
       writes.map(({ condition, value }) => ({ put: condition.key, value })),
     );
     if (!result.ok) return result.failed;
-    for (const write of writes) this.#recorded(write, result.revision);
+    for (const write of writes) this.#onRecorded(write, result.revision);
     return undefined;
   }
 
-  #recorded({ pending, condition, value }: RecordWrite, version: number): void {
+  #onRecorded({ pending, condition, value }: RecordWrite, version: number): void {
     const { subject, id } = pending;
     if (subject.kind === 'rental') {
       this.context.publish({ key: condition.key, version, value, deleted: false });
--- a/src/coordination/shard/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -44,7 +44,7 @@
   #spotNoticeDeadline: number | undefined;
   #isQuarantined = false;
   #drainReason: DrainReason | undefined;
-  #isReturnRequested = false;
+  #isReleaseRequested = false;
   #isTerminated = false;
   #backoffUntil = 0;
 
@@ -214,7 +214,7 @@
 
   /** Its return was requested: it may disappear at any moment. */
   get isReleaseRequested(): boolean {
-    return this.#isReturnRequested;
+    return this.#isReleaseRequested;
   }
 
   /** The cloud confirmed its end: late copies of its heartbeats must bring nothing back. */
@@ -277,13 +277,13 @@
 
   /** It is used again if it was drained as unresponsive, responds, and is still there. */
   cancelDrainIfResponsive(): void {
-    const isDrainedAsUnresponsive = this.#drainReason === 'unresponsive' && !this.#isReturnRequested;
+    const isDrainedAsUnresponsive = this.#drainReason === 'unresponsive' && !this.#isReleaseRequested;
     if (isDrainedAsUnresponsive && this.worker.unresponsiveSince === undefined) this.#drainReason = undefined;
   }
 
   /** Its return is requested: it may disappear at any moment. */
   markReleaseRequested(): void {
-    this.#isReturnRequested = true;
+    this.#isReleaseRequested = true;
   }
 
   /** The cloud confirmed its end. */
--- a/src/coordination/shard/probe-queue.ts
+++ b/src/coordination/shard/probe-queue.ts
@@ -48,7 +48,7 @@
     while (this.#recent.size < MAX_RECENT_PROBES) {
       const machine = this.#machines.pop();
       if (!machine) return undefined;
-      if (!this.#isWorthwhile(machine)) continue;
+      if (!this.#needsProbe(machine)) continue;
       if (now - machine.worker.lastProbeAt < PROBE_INTERVAL_MS || commandsInFlight.has(machine)) continue;
       machine.worker.probed(now);
       this.#recent.add(machine);
@@ -62,7 +62,7 @@
     this.#recent.delete(machine);
   }
 
-  #isWorthwhile(machine: Machine): boolean {
+  #needsProbe(machine: Machine): boolean {
     if (!machine.isUp || machine.isTerminated) return false;
     // A heartbeat that came meanwhile may have shown what the probe was for.
     const hasSentHeartbeat = (machine.lastHeartbeatAt ?? -1) >= this.#filledAt;
--- a/src/coordination/shard/quarantine-policy.ts
+++ b/src/coordination/shard/quarantine-policy.ts
@@ -3,9 +3,9 @@
 import type { Machine } from './machine';
 
 /** Failures in a row of one job, which succeeds elsewhere, after which a machine is faulty. */
-const MAX_FAILURES_OF_ONE_JOB = 3;
+const FAULTY_AFTER_FAILURES_OF_ONE_JOB = 3;
 /** Different jobs failing in a row after which a machine is faulty. */
-const MAX_FAILING_JOBS = 2;
+const FAULTY_AFTER_FAILING_JOBS = 2;
 
 /**
  * Quarantines faulty machines. A machine is faulty when tasks of several jobs fail there in a row, or repeatedly tasks of
@@ -23,7 +23,7 @@
     const { failures } = machine;
     failures.add(table.job.id);
     const succeedsElsewhere = table.done > 0;
-    const failsRepeatedly = succeedsElsewhere && failures.length >= MAX_FAILURES_OF_ONE_JOB;
-    if (failures.jobCount >= MAX_FAILING_JOBS || failsRepeatedly) machine.quarantine();
+    const failsRepeatedly = succeedsElsewhere && failures.length >= FAULTY_AFTER_FAILURES_OF_ONE_JOB;
+    if (failures.jobCount >= FAULTY_AFTER_FAILING_JOBS || failsRepeatedly) machine.quarantine();
   }
 }
--- a/src/coordination/shard/worker-commands.ts
+++ b/src/coordination/shard/worker-commands.ts
@@ -4,7 +4,7 @@
 import type { DispatchTable } from './dispatch-table';
 import type { Machine } from './machine';
 
-const MAX_COMMANDS = 200;
+const MAX_COMMANDS_PER_MESSAGE = 200;
 
 /** Whether the commands include starts. */
 export type StartPolicy = 'with starts' | 'without starts';
@@ -20,7 +20,7 @@
 ): WorkerCommand[] {
   const commands: WorkerCommand[] = [];
   for (const attempt of machine.attempts.values()) {
-    if (commands.length >= MAX_COMMANDS) break;
+    if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
     const op = wantedOperation(machine, attempt, tables);
     if (op === undefined || (op === 'start' && startPolicy === 'without starts')) continue;
     commands.push(command(op, attempt));
@@ -34,7 +34,9 @@
   tables: ReadonlyMap<string, DispatchTable>,
 ): WorkerCommand['op'] | undefined {
   if (attempt.phase === 'exited') {
-    return isSettled(attempt, tables) && machine.worker.isSafeToForget(attempt) ? 'forget' : undefined;
+    return isOutcomeRecorded(attempt, tables) && machine.worker.isSafeToForget(attempt)
+      ? 'forget'
+      : undefined;
   }
   if (attempt.eviction) {
     const isSaving = attempt.phase === 'checkpointing' && attempt.eviction.graceS > 0;
@@ -44,7 +46,7 @@
 }
 
 /** A completion is forgotten only once it is recorded: until then only the worker remembers it. */
-function isSettled(attempt: Attempt, tables: ReadonlyMap<string, DispatchTable>): boolean {
+function isOutcomeRecorded(attempt: Attempt, tables: ReadonlyMap<string, DispatchTable>): boolean {
   if (attempt.exitCause !== 'done') return true;
   const table = tables.get(attempt.job);
   return !table || table.recorded.has(attempt.task);
