--- a/src/coordination/shard/attempt-manager.ts
+++ b/src/coordination/shard/attempt-manager.ts
@@ -1,4 +1,4 @@
-/** @file Issues attempts, and carries what becomes of them into the dispatch tables. */
+/** @file Issues attempts and applies their state changes to the dispatch tables. */
 import type { WakeSignal } from '../../base/clock';
 import type { ControllerContext } from '../controller-context';
 import type { Placement } from '../scheduling/placement';
@@ -12,19 +12,19 @@
 
 const UNKNOWN_JOB_PAUSE_MS = 1_000;
 
-/** What the manager of attempts sets off. */
+/** Where `AttemptManager` signals pending commands and completed tasks. */
 export interface AttemptManagerOutputs {
-  /** The machines whose workers are to be sent commands. */
+  /** Machines with pending commands. */
   readonly commands: CommandQueue;
-  /** Is woken when a task completed. */
+  /** Woken when a task completes. */
   readonly completions: WakeSignal;
 }
 
-/** What becomes of attempts: issues them, and carries what workers report of them into the dispatch tables. */
+/** Issues and evicts attempts, and applies the attempt states that workers report to the dispatch tables. */
 export class AttemptManager {
   readonly #quarantine = new QuarantinePolicy();
   readonly #endedJobAttempts: EndedJobAttempts;
-  /** An attempt was found that no table has use for, since surplus was last evicted. */
+  /** Whether there may be attempts that their job's dispatch table doesn't have. */
   #mayHaveSurplus = true;
 
   constructor(
@@ -35,7 +35,7 @@
     this.#endedJobAttempts = new EndedJobAttempts(context.settings.cancellationUncertaintyMs);
   }
 
-  /** Describes the tasks of a job by its id. */
+  /** Describes the tasks of the job with this id. */
   describe(id: string): TaskDescription {
     return describeTask(this.shard.tables.get(id)?.job);
   }
@@ -46,9 +46,9 @@
     const machine = this.shard.machines.get(id);
     const task = table?.nextUnassigned() ?? -1;
     if (!table || !machine || task < 0) return;
-    // Attempts are issued here and nowhere else, so whatever chose this job, nothing of it starts too early.
+    // Attempts are issued only here, so this check covers every way of choosing a job.
     if (!this.shard.areDependenciesDone(table)) {
-      this.context.log.error({ job }, 'a job was placed before its dependencies are done');
+      this.context.log.error({ job }, 'job placed before its dependencies are done');
       return;
     }
     const number = attemptNumber(this.shard.fencingToken, this.shard.nextAttemptCounter());
@@ -63,7 +63,7 @@
     this.context.log.debug({ job, task, machine: id, attempt: number }, 'task issued');
   }
 
-  /** The attempt is to be stopped, with this much time to save a checkpoint. */
+  /** Schedules a stop command with `graceS` to save a checkpoint. A shorter grace period replaces a longer one. */
   evict(machine: Machine, attempt: Attempt, graceS: number): void {
     if (attempt.phase === 'exited') return;
     if (attempt.eviction && attempt.eviction.graceS <= graceS) return;
@@ -76,7 +76,7 @@
     this.shard.wake();
   }
 
-  /** The job is over: all that runs of it is stopped. */
+  /** Handles the end of a job: drops its dispatch table and evicts its attempts. */
   closeJob(id: string): void {
     if (!this.shard.tables.delete(id)) return;
     for (const [attempt, machine] of this.shard.usage.attemptsOf(id))
@@ -89,21 +89,21 @@
     this.evict(machine, attempt, 0);
   }
 
-  /** Attempts whose jobs ended longer ago than a cancellation leaves room for doubt, and that are not known gone. */
+  /** Attempts of ended jobs whose eviction was not confirmed within the eviction timeout. */
   overdueEvictions(now: number): Iterable<[Attempt, Machine]> {
     return this.#endedJobAttempts.overdue(now);
   }
 
   /**
-   * Whether a start of a job that is over may still reach the machine, though its end was known long ago: the token
-   * can't be raised while the key-value store is unavailable. Unanswered, the worker's lease and session end within the
-   * bound on cancellations, and what may come late ends with them.
+   * Whether the worker may still execute a start command although the job ended longer ago than the eviction timeout:
+   * the fencing token can't be raised while the key-value store is unavailable. If the worker's heartbeats then get no
+   * response, its lease expires within the cancellation bound, and its next incarnation rejects the command.
    */
   hasUnconfirmedStartOfEndedJob(machine: Machine, now: number): boolean {
     return this.#endedJobAttempts.hasUnconfirmedStartOn(machine, now);
   }
 
-  /** Carries changes of a machine's attempts into the dispatch tables. */
+  /** Applies changes of a machine's attempts to the dispatch tables. */
   apply(machine: Machine, changes: readonly AttemptChange[]): void {
     for (const { kind, attempt } of changes) {
       const table = this.shard.tables.get(attempt.job);
@@ -128,9 +128,9 @@
   }
 
   /**
-   * The attempt is no more. Its task is issued again only if no other attempt of it is left anywhere: after a
-   * failover a heartbeat that was held up may show one that has long been replaced, and what the table then held for
-   * the task was the wrong one of two.
+   * Handles an attempt that is gone, or exited without completing its task. The task becomes unassigned only if it has
+   * no other attempt on any machine. It can have two after a failover: a delayed heartbeat may report an attempt that
+   * was replaced long ago, and the table then has the replaced one.
    */
   #onLost(table: DispatchTable, attempt: Attempt): void {
     if (!table.markLost(attempt.task, attempt.key)) return;
@@ -141,7 +141,7 @@
     }
   }
 
-  /** Once every machine is confirmed, attempts that are of no use are stopped. */
+  /** Once all machines are confirmed, evicts the attempts that their job's dispatch table doesn't have. */
   evictSurplus(): void {
     if (!this.shard.areAllMachinesConfirmed || !this.#mayHaveSurplus) return;
     this.#mayHaveSurplus = false;
@@ -188,7 +188,7 @@
         this.shard.runTimes.learn(table.job, (this.context.clock.now() - runningSince) / 1000);
       }
       this.outputs.completions.wake();
-      // Another attempt of it may be under way, if this one was assumed to be lost.
+      // If this attempt was assumed lost, its task was issued again and may have another attempt.
       for (const [other] of this.shard.usage.attemptsOf(job)) {
         if (other.task === task) this.#mayHaveSurplus = true;
       }
@@ -197,20 +197,20 @@
     this.#quarantine.onTaskSucceeded(machine);
   }
 
-  /** The start certainly never happened. */
+  /** Removes an attempt that was certainly never started. */
   discardUnstarted(machine: Machine, key: string): void {
     const change = machine.discardUnstarted(key);
     if (change) this.apply(machine, [change]);
   }
 
-  /** All that was on the machine is gone. */
+  /** Confirms the machine and removes all its attempts: its worker has stopped them, or the machine is gone. */
   dropAllAttempts(machine: Machine): void {
     const changes = machine.dropAllAttempts();
     this.shard.confirm(machine);
     this.apply(machine, changes);
   }
 
-  /** How many attempts of a job run. */
+  /** How many attempts of a job are running or writing a checkpoint. */
   runningCount(job: string): number {
     let running = 0;
     for (const [{ phase }] of this.shard.usage.attemptsOf(job)) {
--- a/src/coordination/shard/attempt.ts
+++ b/src/coordination/shard/attempt.ts
@@ -1,4 +1,4 @@
-/** @file One attempt to run a task on a machine, as the owner of the machine's shard knows it. */
+/** @file One attempt to run a task on a machine, as the owner of the machine's shard tracks it. */
 import {
   attemptKey,
   type AttemptPhase,
@@ -8,13 +8,13 @@
   type Resources,
 } from '../../protocol/model';
 
-/** Attempt numbers hold the fencing token under which they were issued, so they never repeat, also after a failover. */
+/** Attempt numbers contain the fencing token they were issued under, so they stay unique across failovers. */
 const ATTEMPTS_PER_TOKEN = 2 ** 20;
 
-/** `starting`: a start has left, or is about to, and no message of the worker has shown the attempt yet. */
+/** The worker's phases, and `starting`: the attempt is issued, but no message of its worker has reported it yet. */
 export type TrackedPhase = 'starting' | AttemptPhase;
 
-/** What an attempt needs and for whom it runs, as far as its job is known. */
+/** What an attempt needs of its machine, and the team that it runs for. */
 export interface TaskDescription {
   readonly resources: Resources;
   readonly team: string;
@@ -22,7 +22,7 @@
   readonly imageGb: number;
 }
 
-/** Where an attempt comes from: issued by this owner, or found in a message of its worker. */
+/** The origin of an attempt: issued by this owner, or reported by its worker. */
 export interface AttemptOrigin {
   readonly job: string;
   readonly task: number;
@@ -31,7 +31,7 @@
   readonly wasStartSent: boolean;
 }
 
-/** What became of an attempt. */
+/** A change in an attempt's state. `found`: the worker reported an attempt that wasn't tracked yet. */
 export interface AttemptChange {
   readonly kind: 'found' | 'running' | 'exited' | 'gone';
   readonly attempt: Attempt;
@@ -44,28 +44,28 @@
   imageGb: 0,
 };
 
-/** Describes the tasks of a job; those of a job that the shard does not have are of no team and need nothing. */
+/** Describes the tasks of a job; undefined means a job that the shard doesn't have: no team, no resources. */
 export function describeTask(job: Job | undefined): TaskDescription {
   if (!job) return UNKNOWN_JOB;
   return { resources: job, team: job.team, image: job.image, imageGb: job.imageGb };
 }
 
-/** The number of the attempt that is issued under this fencing token as the `counter`-th. */
+/** The number of the `counter`-th attempt issued under this fencing token. */
 export function attemptNumber(token: number, counter: number): number {
   return token * ATTEMPTS_PER_TOKEN + (counter % ATTEMPTS_PER_TOKEN);
 }
 
-/** The fencing token under which the attempt with this number was issued. */
+/** The fencing token that the attempt with this number was issued under. */
 export function fencingTokenOf(attempt: number): number {
   return Math.floor(attempt / ATTEMPTS_PER_TOKEN);
 }
 
-/** Whether the attempt takes up resources of its machine, or may do so. */
+/** Whether the attempt counts against its machine's resources. One whose start is unconfirmed does. */
 export function occupiesResources(attempt: Attempt): boolean {
   return attempt.phase !== 'exited';
 }
 
-/** How long the attempt has run, as far as its owner saw. */
+/** Time since its owner first saw the attempt running; 0 before that. */
 export function elapsedS(attempt: Attempt, now: number): number {
   return attempt.runningSince === undefined ? 0 : (now - attempt.runningSince) / 1000;
 }
@@ -80,12 +80,12 @@
   readonly team: string;
   readonly image: string;
   readonly imageGb: number;
-  /** It was placed out of turn because its job had waited too long; it is not preempted for others. */
+  /** It was placed ahead of the queue order because its job had waited too long. It is not preempted. */
   readonly isBoosted: boolean;
   #phase: TrackedPhase = 'starting';
   #exitCause: ExitCause | null = null;
   #runningSince: number | undefined;
-  #wasSent: boolean;
+  #wasStartSent: boolean;
   #isStartInFlight = false;
   #eviction: { readonly graceS: number } | undefined;
   #jobEndedAt: number | undefined;
@@ -100,7 +100,7 @@
     this.image = description.image;
     this.imageGb = description.imageGb;
     this.isBoosted = origin.isBoosted;
-    this.#wasSent = origin.wasStartSent;
+    this.#wasStartSent = origin.wasStartSent;
   }
 
   get phase(): TrackedPhase {
@@ -115,50 +115,50 @@
     return this.#runningSince;
   }
 
-  /** A command that carries the start has been sent at least once. */
+  /** Whether a command with its start was sent at least once. */
   get wasStartSent(): boolean {
-    return this.#wasSent;
+    return this.#wasStartSent;
   }
 
-  /** A command that carries the start is in flight. */
+  /** Whether a command with its start is in flight. */
   get isStartInFlight(): boolean {
     return this.#isStartInFlight;
   }
 
-  /** It is to be stopped, with this much time to save a checkpoint. */
+  /** Defined once the attempt is to be stopped; `graceS` is its time to save a checkpoint. */
   get eviction(): { readonly graceS: number } | undefined {
     return this.#eviction;
   }
 
-  /** Since when its owner knows that its job is over. */
+  /** When its owner learned that its job has ended. */
   get jobEndedAt(): number | undefined {
     return this.#jobEndedAt;
   }
 
-  /** The worker reports another phase. */
+  /** Applies the phase that the worker reports. */
   enterPhase(reported: ReportedAttempt, now: number): void {
     this.#phase = reported.phase;
     this.#exitCause = reported.cause;
     if (reported.phase === 'running' || reported.phase === 'checkpointing') this.#runningSince ??= now;
   }
 
-  /** A command that carries the start leaves. */
+  /** A command with its start is being sent. */
   startCommandSent(): void {
-    this.#wasSent = true;
+    this.#wasStartSent = true;
     this.#isStartInFlight = true;
   }
 
-  /** The command that carries the start has ended, answered or not. */
+  /** The command with its start was answered, or failed. */
   startCommandEnded(): void {
     this.#isStartInFlight = false;
   }
 
-  /** It is to be stopped. */
+  /** Marks the attempt as to be stopped. */
   evict(graceS: number): void {
     this.#eviction = { graceS };
   }
 
-  /** Its job is over. The first time counts. */
+  /** Records when its job ended; later calls have no effect. */
   markJobEnded(now: number): void {
     this.#jobEndedAt ??= now;
   }
--- a/src/coordination/shard/command-client.ts
+++ b/src/coordination/shard/command-client.ts
@@ -3,29 +3,29 @@
 import { parseHeartbeat, writeCommandRequest } from '../../protocol/workers';
 import { NoResponseError, type HttpCaller } from '../../transport/http-client';
 
-/** What became of a command. */
+/** The outcome of a command request. */
 export type CommandResult =
   | { kind: 'done'; heartbeat: WorkerHeartbeat }
   /** Not executed: the fencing token or the incarnation did not match. */
   | { kind: 'refused'; heartbeat: WorkerHeartbeat | undefined }
-  /** Not executed: not a byte of the request can have left. */
+  /** Not executed: no byte of the request was sent. */
   | { kind: 'not sent' }
-  /** Unanswered. It may have been executed, and may still be, much later. */
+  /** No usable response: the worker may have executed the request, or may execute it much later. */
   | { kind: 'unknown' };
 
 const COMMAND_TIMEOUT_MS = 2_000;
 
-/** Commands to a worker, and under what they are sent. */
+/** Commands to a worker, with the fencing token and the incarnation that the worker checks. */
 export interface CommandRequest {
   readonly address: string;
   readonly fencingToken: number;
   readonly incarnation: number;
   readonly commands: readonly WorkerCommand[];
-  /** Whether the sender still has the right to act; checked right before the request leaves. */
+  /** Whether the sender still holds a valid lease; checked right before the first byte is sent. */
   maySend(): boolean;
 }
 
-/** Sends commands straight to a worker; resolves in any case. */
+/** Sends commands to a worker. Never rejects: failures are results. */
 export async function sendCommands(http: HttpCaller, request: CommandRequest): Promise<CommandResult> {
   const { address, fencingToken, incarnation, commands } = request;
   const body = writeCommandRequest(fencingToken, incarnation, commands);
--- a/src/coordination/shard/command-dispatcher.ts
+++ b/src/coordination/shard/command-dispatcher.ts
@@ -1,4 +1,4 @@
-/** @file Sends commands to the workers of a shard and takes in what becomes of them. */
+/** @file Sends commands to the workers of a shard and applies the results. */
 import { describeError } from '../../base/loop';
 import type { ControllerContext } from '../controller-context';
 import { fencingTokenOf, type Attempt } from './attempt';
@@ -11,17 +11,17 @@
 import type { Shard } from './shard';
 import { commandsFor } from './worker-commands';
 
-/** Commands that may be in flight while a large fleet's workers come. */
+/** Limit on commands in flight while the workers of a large fleet connect after a failover. */
 const MAX_IN_FLIGHT_WHILE_AWAITING_WORKERS = 8;
 
-/** Why commands are sent: because some are pending, or to get the worker's state, also when there are none. */
+/** `pending`: sent only if there are commands. `probe`: always sent, because the response has the worker's state. */
 type SendReason = 'pending' | 'probe';
 
-/** A command that has left. */
+/** A command request in flight. */
 interface SentCommand {
   readonly machine: Machine;
   readonly incarnation: number;
-  /** Attempts whose starts it carries. */
+  /** Attempts that it starts. */
   readonly starts: readonly Attempt[];
 }
 
@@ -32,7 +32,7 @@
   readonly reconciler: HeartbeatReconciler;
 }
 
-/** Sends each worker the difference between what is wanted of it and what is on it. */
+/** Sends each worker the commands that bring the attempts on its machine to their desired state. */
 export class CommandDispatcher {
   readonly #queue: CommandQueue;
   readonly #attempts: AttemptManager;
@@ -53,12 +53,12 @@
     this.#maxInFlight = context.settings.sockets.commands;
   }
 
-  /** How many commands have left and are not answered. */
+  /** How many command requests are in flight. */
   get inFlightCount(): number {
     return this.#inFlight.size;
   }
 
-  /** Sends what is pending, as far as sockets allow; the rest goes out as answers come in. */
+  /** Sends pending commands up to the limit on sockets; the rest follow as responses arrive. */
   flush(): void {
     const maxInFlight = this.shard.isAwaitingWorkers(this.context.clock.now())
       ? MAX_IN_FLIGHT_WHILE_AWAITING_WORKERS
@@ -71,7 +71,7 @@
     }
   }
 
-  /** Probes the machines whose state is in doubt; the next ones as answers come in. */
+  /** Starts probing unconfirmed and unresponsive machines; further probes follow as responses arrive. */
   probe(now: number): void {
     this.#probes.fill(now);
     this.#probeNext();
@@ -90,7 +90,7 @@
     if (machine.record.address === '' || machine.isTerminated || !this.shard.entitled) return;
     const unsent = [...machine.attempts.values()].filter((attempt) => !attempt.wasStartSent);
     this.#discardInvalidStarts(machine, unsent);
-    // Commands to an unresponsive machine hold no starts: they would be stuck there.
+    // No starts are sent to an unresponsive machine: their attempts would stay unconfirmed until its lease expires.
     const startPolicy = machine.unresponsiveSince === undefined ? 'with starts' : 'without starts';
     const commands = commandsFor(machine, this.shard.tables, startPolicy);
     if (commands.length === 0 && reason === 'pending') return;
@@ -110,8 +110,8 @@
   }
 
   /**
-   * A start that has not left and is no longer wanted never will. Nor will one that was numbered under an earlier token:
-   * its number must name the token that it is sent with, for that is what ends all doubt about it.
+   * Discards unsent starts of evicted attempts, and those numbered under an earlier fencing token. A start must be sent
+   * under the token in its number: once the worker has seen a higher token, that start can't be executed any more.
    */
   #discardInvalidStarts(machine: Machine, unsent: readonly Attempt[]): void {
     for (const attempt of unsent) {
@@ -133,7 +133,10 @@
         this.#probeNext();
       })
       .catch((error: unknown) => {
-        this.context.log.error({ machine: machine.id, err: describeError(error) }, 'a command failed');
+        this.context.log.error(
+          { machine: machine.id, err: describeError(error) },
+          'handling a command result failed',
+        );
       });
   }
 
@@ -149,11 +152,11 @@
     if (result.heartbeat) this.#reconciler.reconcile(machine, result.heartbeat);
     if (result.kind === 'refused') this.#discardUnstarted(machine, sent.starts);
     this.#flagUnconfirmedStarts(sent);
-    // The first command to a machine whose session is not known yet is refused; the answer names it.
+    // The first command to a worker whose incarnation is unknown is refused, and the response contains the incarnation.
     const isNewIncarnation = !machine.isConfirmed && machine.worker.incarnation !== sent.incarnation;
     if (isNewIncarnation) this.#send(machine, 'probe');
     else if (result.kind === 'done') this.#send(machine, 'pending');
-    // One that refuses for another reason is sent commands again at the pace of rounds.
+    // After any other refusal, the machine's remaining commands are queued again.
     else this.#queue.add(machine);
   }
 
@@ -169,7 +172,7 @@
     machine.backOff(now);
     this.#flagUnconfirmedStarts(sent);
     this.context.log.debug({ machine: machine.id, result: kind }, 'command unanswered');
-    // What was placed here meanwhile goes elsewhere: the machine may be hanging.
+    // The worker may be stalled: attempts placed here since then are discarded, so that their tasks go elsewhere.
     const unsent = [...machine.attempts.values()].filter((attempt) => !attempt.wasStartSent);
     this.#discardUnstarted(machine, unsent);
     this.shard.wake();
--- a/src/coordination/shard/command-queue.ts
+++ b/src/coordination/shard/command-queue.ts
@@ -1,21 +1,21 @@
-/** @file The machines whose workers are to be sent commands. */
+/** @file The queue of machines with pending commands. */
 import type { Machine } from './machine';
 
-/** Machines with pending commands, in the order in which they came to have them. */
+/** Machines with pending commands, in the order of insertion. */
 export class CommandQueue implements Iterable<Machine> {
   readonly #machines = new Set<Machine>();
 
-  /** The machine has commands to be sent at the end of the round. */
+  /** Queues a machine; its commands are sent at the end of the round. */
   add(machine: Machine): void {
     this.#machines.add(machine);
   }
 
-  /** The machine's commands are about to be sent, or no longer matter. */
+  /** Removes a machine whose commands are about to be sent or are obsolete. */
   delete(machine: Machine): void {
     this.#machines.delete(machine);
   }
 
-  /** Machines may be added and deleted meanwhile. */
+  /** Machines may be added and deleted during iteration. */
   [Symbol.iterator](): Iterator<Machine> {
     return this.#machines.values();
   }
--- a/src/coordination/shard/ended-job-attempts.ts
+++ b/src/coordination/shard/ended-job-attempts.ts
@@ -1,30 +1,30 @@
-/** @file Attempts of jobs that are over, until each is known to be gone. */
+/** @file Attempts of ended jobs, until each is confirmed to be gone. */
 import type { Attempt } from './attempt';
 import type { Machine } from './machine';
 
-/** Attempts of jobs that are over: most take no longer to go than a command does. */
+/** Tracks attempts of ended jobs until they are gone. Most are gone within the round trip of one stop command. */
 export class EndedJobAttempts {
   readonly #machines = new Map<Attempt, Machine>();
 
-  /** `uncertaintyMs`: how long a cancellation leaves room for doubt. */
-  constructor(private readonly uncertaintyMs: number) {}
+  /** `evictionTimeoutMs`: how long after its job ended an attempt may be unconfirmed before it counts as overdue. */
+  constructor(private readonly evictionTimeoutMs: number) {}
 
-  /** The job of the attempt is over. */
+  /** Tracks an attempt whose job has ended. */
   add(attempt: Attempt, machine: Machine, now: number): void {
     attempt.markJobEnded(now);
     this.#machines.set(attempt, machine);
   }
 
-  /** Those whose jobs ended longer ago than a cancellation leaves room for doubt, and that are not known gone. */
+  /** Attempts that are not confirmed gone although the eviction timeout has passed; forgets those that are gone. */
   *overdue(now: number): Iterable<[Attempt, Machine]> {
     for (const [attempt, machine] of this.#machines) {
       const isGone = attempt.phase === 'exited' || machine.attempts.get(attempt.key) !== attempt;
       if (isGone) this.#machines.delete(attempt);
-      else if (now - (attempt.jobEndedAt ?? now) > this.uncertaintyMs) yield [attempt, machine];
+      else if (now - (attempt.jobEndedAt ?? now) > this.evictionTimeoutMs) yield [attempt, machine];
     }
   }
 
-  /** Whether an overdue one may still start on the machine. */
+  /** Whether the machine's worker may still execute the start command of an overdue attempt. */
   hasUnconfirmedStartOn(machine: Machine, now: number): boolean {
     if (this.#machines.size === 0) return false;
     for (const [attempt, attemptMachine] of this.overdue(now)) {
--- a/src/coordination/shard/failure-streak.ts
+++ b/src/coordination/shard/failure-streak.ts
@@ -1,27 +1,27 @@
-/** @file The tasks that failed on a machine since the last one that succeeded. */
+/** @file Counts consecutive task failures on a machine. */
 
-/** Failures in a row on one machine, and the jobs that they were of. */
+/** The tasks that failed on a machine since the last one that succeeded there, and their jobs. */
 export class FailureStreak {
   readonly #jobs = new Set<string>();
   #length = 0;
 
-  /** How many tasks failed in a row. */
+  /** Number of consecutive failures. */
   get length(): number {
     return this.#length;
   }
 
-  /** Of how many different jobs they were. */
+  /** Number of different jobs among the failures. */
   get jobCount(): number {
     return this.#jobs.size;
   }
 
-  /** A task of the job failed. */
+  /** Counts a failed task of the job. */
   add(job: string): void {
     this.#length += 1;
     this.#jobs.add(job);
   }
 
-  /** A task succeeded. */
+  /** Ends the streak after a task succeeded. */
   clear(): void {
     this.#length = 0;
     this.#jobs.clear();
--- a/src/coordination/shard/heartbeat-handler.ts
+++ b/src/coordination/shard/heartbeat-handler.ts
@@ -1,4 +1,4 @@
-/** @file Answers the heartbeats of a shard's workers, which renews their leases. */
+/** @file Responds to the heartbeats of a shard's workers; each response renews the worker's lease. */
 import type { WorkerCommand, WorkerHeartbeat } from '../../protocol/model';
 import type { Autoscaler } from '../autoscaling/autoscaler';
 import type { ControllerContext } from '../controller-context';
@@ -11,10 +11,10 @@
 import type { Shard } from './shard';
 import { commandsFor } from './worker-commands';
 
-/** So many heartbeats of a machine are answered though they don't show the token that the answers carry. */
+/** How many unverified heartbeats of an unconfirmed machine get a response; see `#answerUnverified`. */
 const MAX_UNVERIFIED_HEARTBEATS = 3;
 
-/** The parts of a shard's owner that the handler works with. */
+/** Components of the shard's owner that the handler uses. */
 export interface HeartbeatHandlerParts {
   readonly attempts: AttemptManager;
   readonly reconciler: HeartbeatReconciler;
@@ -22,7 +22,7 @@
   readonly autoscaler: Autoscaler;
 }
 
-/** Takes in heartbeats of workers and decides what they are answered. */
+/** Applies workers' heartbeats to the shard's state and builds the responses. */
 export class HeartbeatHandler {
   readonly #attempts: AttemptManager;
   readonly #reconciler: HeartbeatReconciler;
@@ -40,14 +40,14 @@
     this.#autoscaler = autoscaler;
   }
 
-  /** Takes in a heartbeat. Undecided: this controller is not entitled to answer. */
+  /** Handles a heartbeat. `UNDECIDED`: this controller may not respond, or must not renew the worker's lease. */
   onHeartbeat(heartbeat: WorkerHeartbeat): OwnerResponse | Promise<OwnerResponse> {
     const { shard } = this;
     const machine = shard.machines.get(heartbeat.machine);
     if (!machine && shard.entitled && this.#autoscaler.isUnrecorded(heartbeat.machine)) {
       return this.#registerUnrecorded(heartbeat);
     }
-    // A heartbeat of a machine that the cloud has ended is a late copy: it brings nothing back.
+    // A heartbeat of a machine that the cloud has terminated is a delayed message: it must change nothing.
     if (!machine || machine.isTerminated || !shard.entitled) return UNDECIDED;
     if (machine.isUp) return this.#answer(machine, heartbeat);
     machine.firstHeartbeatReceived();
@@ -56,7 +56,7 @@
       .then((recorded) => (recorded ? this.#answer(machine, heartbeat) : UNDECIDED));
   }
 
-  /** The first heartbeat of a machine whose rental is not recorded yet. */
+  /** Handles the first heartbeat of a machine that has no record yet: records it as up before responding. */
   async #registerUnrecorded(heartbeat: WorkerHeartbeat): Promise<OwnerResponse> {
     const { machine: id, address } = heartbeat;
     const record = this.#autoscaler.beginRecording(id);
@@ -71,19 +71,22 @@
     const { shard } = this;
     if (!shard.entitled || machine.isTerminated || shard.machines.get(machine.id) !== machine)
       return UNDECIDED;
-    // It may be a copy from before this owner acquired the shard, held up for long: only the owner's token, or the answer
-    // to a command, proves a message new.
-    const mayBeCopy = !machine.worker.areHeartbeatsVerified && heartbeat.fencingToken < shard.fencingToken;
-    return mayBeCopy ? this.#answerUnverified(machine, heartbeat) : this.#answerVerified(machine, heartbeat);
+    // The heartbeat may have been sent before this owner acquired the shard and then delayed. Only this owner's fencing
+    // token, or the response to a command, proves that a message is newer.
+    const mayPredateOwner =
+      !machine.worker.areHeartbeatsVerified && heartbeat.fencingToken < shard.fencingToken;
+    return mayPredateOwner
+      ? this.#answerUnverified(machine, heartbeat)
+      : this.#answerVerified(machine, heartbeat);
   }
 
   #answerUnverified(machine: Machine, heartbeat: WorkerHeartbeat): OwnerResponse {
     const count = machine.worker.unverifiedHeartbeatReceived(heartbeat.incarnation);
-    // The answers don't reach it. Counted as answered again and again, its lease would never end by our count.
+    // The worker doesn't receive the responses. If each one counted as a renewal, its lease would never seem to expire.
     if (!machine.isConfirmed && count > MAX_UNVERIFIED_HEARTBEATS) return UNDECIDED;
     machine.worker.heartbeatAnswered(this.context.clock.now());
-    // The answer renews the worker's lease, so it must end what was cancelled, perhaps a lease ago, before this owner
-    // acquired the shard: a worker that receives this one answer and no other would keep it for another lease.
+    // The response renews the worker's lease, so it must stop attempts of jobs that were cancelled before this owner
+    // acquired the shard, perhaps a lease ago. A worker that receives only this response would run them for another.
     return this.#accept(evictionsOfEndedJobs(heartbeat, this.context.cache));
   }
 
@@ -94,7 +97,7 @@
     if (isNew) machine.worker.leaseRenewed(now);
     if (this.#attempts.hasUnconfirmedStartOfEndedJob(machine, now)) return UNDECIDED;
     const commands = commandsFor(machine, this.shard.tables, 'without starts');
-    // Counted from now, which is later than when the worker sent the heartbeat: its own lease ends before ours of it.
+    // The worker counts its lease from when it sent the heartbeat, so it expires there before it expires here.
     machine.worker.heartbeatAnswered(now);
     return this.#accept(commands);
   }
--- a/src/coordination/shard/heartbeat-reconciler.ts
+++ b/src/coordination/shard/heartbeat-reconciler.ts
@@ -1,11 +1,11 @@
-/** @file Reconciles what a worker says of its machine with what the shard's owner knows. */
+/** @file Reconciles the state that a worker reports with the state that the shard's owner tracks. */
 import type { WorkerHeartbeat } from '../../protocol/model';
 import type { ControllerContext } from '../controller-context';
 import type { AttemptManager } from './attempt-manager';
 import type { Machine } from './machine';
 import type { Shard } from './shard';
 
-/** Reconciles the messages of workers, heartbeats and answers to commands alike, with the machines of a shard. */
+/** Applies workers' heartbeats, and the heartbeats in responses to commands, to the machines of a shard. */
 export class HeartbeatReconciler {
   constructor(
     private readonly shard: Shard,
@@ -13,17 +13,17 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** Takes in a message of the machine's worker. */
+  /** Applies a message of the machine's worker. */
   reconcile(machine: Machine, heartbeat: WorkerHeartbeat): void {
     const { shard } = this;
     const now = this.context.clock.now();
     const { heartbeatTimeoutMs, leaseMs } = shard.timing;
-    const wasSilent = !machine.worker.hasRecentHeartbeat(now, heartbeatTimeoutMs);
+    const hadMissedHeartbeats = !machine.worker.hasRecentHeartbeat(now, heartbeatTimeoutMs);
     const changes = machine.reconcile(heartbeat, now, leaseMs, (job) => this.attempts.describe(job));
     this.#checkFencingToken(machine, heartbeat);
-    if (wasSilent) {
-      // Out of reach it could not be used: counted as idle all that time, the machines of a zone that had been cut off
-      // were returned by the hundred the moment they came back, before any waiting task could be placed there.
+    if (hadMissedHeartbeats) {
+      // An unreachable machine can't be used, so that time isn't idle time. When it was, hundreds of machines of a
+      // partitioned zone were released as soon as the partition ended, before pending tasks could be placed there.
       machine.restartIdleTime(now);
       shard.wake();
     }
@@ -31,7 +31,7 @@
     this.attempts.apply(machine, changes);
   }
 
-  /** The first message that shows the owner's token proves that nothing from before can start here any more. */
+  /** Confirms the machine once its worker has seen this owner's token: it then rejects commands of earlier owners. */
   #checkFencingToken(machine: Machine, heartbeat: WorkerHeartbeat): void {
     const { shard } = this;
     const { number, fencingToken } = shard;
--- a/src/coordination/shard/image-cache.ts
+++ b/src/coordination/shard/image-cache.ts
@@ -1,17 +1,17 @@
-/** @file The images that a machine should hold. */
+/** @file The owner's estimate of which images a machine has cached. */
 
-/** Images and their sizes, least recently used first; bounded by the cache of the machine's type. */
+/** Models the image cache of a worker: LRU eviction, with the cache size of the machine's type. */
 export class ImageCache {
   readonly #sizesGb = new Map<string, number>();
 
   constructor(private readonly capacityGb: number) {}
 
-  /** Sizes by image, least recently used first. */
+  /** Image sizes by image, least recently used first. */
   get sizesGb(): ReadonlyMap<string, number> {
     return this.#sizesGb;
   }
 
-  /** The image is used: it is the last one to be evicted. */
+  /** Marks the image as most recently used, and evicts others that no longer fit. */
   touch(image: string, imageGb: number): void {
     this.#sizesGb.delete(image);
     this.#sizesGb.set(image, imageGb);
@@ -24,7 +24,7 @@
     }
   }
 
-  /** The worker began anew, with an empty cache. */
+  /** Empties the cache: the worker has begun a new incarnation, with an empty cache. */
   clear(): void {
     this.#sizesGb.clear();
   }
--- a/src/coordination/shard/machine-attempts.ts
+++ b/src/coordination/shard/machine-attempts.ts
@@ -1,11 +1,11 @@
-/** @file The attempts on one machine, and their reconciliation with what the machine's worker reports. */
+/** @file The attempts on one machine, and their reconciliation with the worker's heartbeats. */
 import { attemptKey, type ReportedAttempt } from '../../protocol/model';
 import { Attempt, occupiesResources, type AttemptChange, type TaskDescription } from './attempt';
 import type { ImageCache } from './image-cache';
 import type { MachineResources } from './machine-resources';
 import type { WorkerLiveness } from './worker-liveness';
 
-/** What is on a machine, or may be. Keeps the machine's resources and images in step with it. */
+/** The attempts on a machine, unconfirmed ones included. Updates the machine's resources and image cache with them. */
 export class MachineAttempts {
   readonly #attempts = new Map<string, Attempt>();
 
@@ -20,13 +20,13 @@
     return this.#attempts;
   }
 
-  /** Puts an attempt on the machine: issued by this owner, or found in a message of the worker. */
+  /** Adds an attempt that this owner issued, or that the worker reported. */
   add(attempt: Attempt): void {
     this.#attempts.set(attempt.key, attempt);
     if (occupiesResources(attempt)) this.resources.occupy(attempt);
   }
 
-  /** Takes in all that a new message of the worker reports; `describe` describes tasks that we did not issue. */
+  /** Applies the attempts in a new message; `describe` describes tasks of attempts that this owner didn't issue. */
   reconcile(
     reportedAttempts: readonly ReportedAttempt[],
     now: number,
@@ -58,7 +58,7 @@
     return attempt;
   }
 
-  /** Returns what others have to know of the change, if anything. */
+  /** Returns the kind of change that `AttemptManager` has to apply, if any. */
   #applyReport(attempt: Attempt, reported: ReportedAttempt, now: number): 'running' | 'exited' | undefined {
     const { phase } = reported;
     if (phase === attempt.phase) return undefined;
@@ -72,7 +72,7 @@
   }
 
   #dropUnreported(reportedKeys: ReadonlySet<string>, changes: AttemptChange[]): void {
-    // Attempts are never fewer than what is reported; where they are as many, none is missing from the report.
+    // All reported attempts have been added by now, so equal sizes mean that no attempt is missing from the heartbeat.
     if (this.#attempts.size === reportedKeys.size) return;
     for (const attempt of [...this.#attempts.values()]) {
       if (reportedKeys.has(attempt.key) || this.worker.isStartUnconfirmed(attempt)) continue;
@@ -80,14 +80,14 @@
     }
   }
 
-  /** The start certainly never happened (refused, or never sent). */
+  /** Removes an attempt that was certainly never started: its start was refused or never sent. */
   discardUnstarted(key: string): AttemptChange | undefined {
     const attempt = this.#attempts.get(key);
     if (attempt?.phase !== 'starting') return undefined;
     return this.#drop(attempt);
   }
 
-  /** All that was on the machine is gone. */
+  /** Removes all attempts: the worker has stopped them, or the machine is gone. */
   dropAll(): AttemptChange[] {
     return [...this.#attempts.values()].map((attempt) => this.#drop(attempt));
   }
--- a/src/coordination/shard/machine-registration.ts
+++ b/src/coordination/shard/machine-registration.ts
@@ -1,4 +1,4 @@
-/** @file Records that machines are up before their first heartbeats are answered. */
+/** @file Records machines as up before their first heartbeats get a response. */
 import { describeError } from '../../base/loop';
 import { changesAtOnce } from '../../base/state-limits';
 import { KEY, type MachineRecord } from '../../bookkeeping/records';
@@ -10,13 +10,13 @@
 const BATCHING_DELAY_MS = 40;
 const MAX_RECORDS_PER_TRANSACTION = 12;
 
-/** What became of the record of a machine. `conflict`: another writer changed it meanwhile. */
+/** The outcome of writing a machine's record. `conflict`: another writer changed the record first. */
 export type RegistrationOutcome = 'recorded' | 'conflict' | 'failed';
 
-/** A machine of the shard, or the record of a rental that was never written. */
+/** A machine that the shard has, or the unwritten record of a rented machine. */
 type RecordSubject = { kind: 'known'; machine: Machine } | { kind: 'rental'; record: MachineRecord };
 
-/** A machine whose worker sends heartbeats, and whose record is to say so. */
+/** A machine whose worker sends heartbeats, and which is to be recorded as up. */
 interface PendingRecord {
   readonly id: string;
   readonly address: string;
@@ -25,7 +25,7 @@
   resolve(outcome: RegistrationOutcome): void;
 }
 
-/** One record of a transaction. */
+/** The write of one record in a transaction. */
 interface RecordWrite {
   readonly pending: PendingRecord;
   readonly condition: Condition;
@@ -33,11 +33,11 @@
 }
 
 /**
- * Before a machine gets its first answer it is recorded as up: after a failover the next owner then knows that it may
- * hold tasks. Machines come up by the dozen, so what is to be recorded within a moment goes into one transaction.
+ * Records machines as up. A machine's first heartbeat gets no response before that, so that after a failover the next
+ * owner knows which machines may have tasks. Machines come up by the dozen, so their records are written in batches.
  *
- * A machine may be up before the record of its rental was written, as the limit on changes allows only dozens a second:
- * one write then records both.
+ * The key-value store's limit on changes allows only dozens of records a second, so a machine may come up before its
+ * rental is recorded. One write then records both.
  */
 export class MachineRegistration {
   readonly #pending = new Map<string, PendingRecord>();
@@ -48,17 +48,17 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** How many records are still to be written. */
+  /** Number of pending records. */
   get size(): number {
     return this.#pending.size;
   }
 
-  /** Records that a machine of the shard is up. Resolves to true when that is done. */
+  /** Records a machine of the shard as up; resolves to whether that succeeded. */
   async register(machine: Machine, address: string): Promise<boolean> {
     return (await this.#enqueue(machine.id, address, { kind: 'known', machine })) === 'recorded';
   }
 
-  /** Records a machine that was rented for the shard and has no record yet, as up. */
+  /** Records a machine as up that was rented for the shard and has no record yet. */
   registerUnrecorded(id: string, address: string, record: MachineRecord): Promise<RegistrationOutcome> {
     return this.#enqueue(id, address, { kind: 'rental', record });
   }
@@ -93,7 +93,7 @@
     this.#isWriting = false;
   }
 
-  /** Writes the records of a batch; those that aren't named in the result were not written. */
+  /** Writes a batch of records. Records without an entry in the result were not written. */
   async #write(batch: readonly PendingRecord[]): Promise<Map<PendingRecord, RegistrationOutcome>> {
     const outcomes = new Map<PendingRecord, RegistrationOutcome>();
     try {
@@ -104,7 +104,7 @@
           for (const { pending } of unwritten) outcomes.set(pending, 'recorded');
           break;
         }
-        // A record that changed meanwhile holds up no other.
+        // One conflict fails the whole transaction: it is retried without the records that changed.
         const conflicts = unwritten.filter(({ condition }) => failed.includes(condition.key));
         for (const { pending } of conflicts) outcomes.set(pending, 'conflict');
         if (conflicts.length === 0) break;
@@ -121,14 +121,14 @@
     const key = KEY.machine(id);
     const version = this.context.cache.version(key);
     const isRental = subject.kind === 'rental';
-    // A rental that has a record meanwhile is known to the shard; a known machine without one was returned while it
-    // waited, and a condition on its absence would bring it back, as up.
+    // A rental that has a record by now is in the shard already. A machine of the shard without a record was released
+    // while its write was pending: a write on the condition that no record exists would recreate it, as up.
     if (isRental ? version > 0 : version === 0) return undefined;
     const record = isRental ? subject.record : subject.machine.record;
     return { pending, condition: { key, version }, value: { ...record, address, up: true } };
   }
 
-  /** One transaction. Undefined: it was carried out; otherwise the keys whose conditions failed. */
+  /** Runs one transaction. Returns undefined on success, else the keys whose conditions failed. */
   async #writeInTransaction(writes: readonly RecordWrite[]): Promise<string[] | undefined> {
     const result = await this.context.store.compareAndSwap(
       [this.shard.leaseCondition(), ...writes.map(({ condition }) => condition)],
@@ -148,7 +148,7 @@
     if (!machine) return;
     const now = this.context.clock.now();
     machine.markUp(pending.address, now);
-    // It was rented for this shard and had no record until now, so no owner can have answered it: it holds nothing.
+    // A machine without a record never got a response to a heartbeat from any owner, so it has no attempts.
     if (subject.kind === 'rental') {
       machine.worker.markNeverAnswered();
       this.shard.confirm(machine);
--- a/src/coordination/shard/machine-resources.ts
+++ b/src/coordination/shard/machine-resources.ts
@@ -1,15 +1,15 @@
-/** @file Accounts for the resources of one machine: what its attempts occupy, and what is free. */
+/** @file Accounts for the resources of one machine: used by attempts, and free. */
 import type { Resources } from '../../protocol/model';
 import type { Attempt } from './attempt';
 import type { Machine } from './machine';
 
-/** Is notified of every attempt that comes to occupy resources of a machine, and of every one that releases them. */
+/** Is notified whenever an attempt begins or ceases to occupy resources of a machine. */
 export interface OccupancyListener {
   onOccupied(machine: Machine, attempt: Attempt): void;
   onReleased(machine: Machine, attempt: Attempt): void;
 }
 
-/** Sums over the attempts that occupy resources, kept up to date: rounds ask for them for every machine. */
+/** Running totals over the attempts that occupy resources, because each round reads them for every machine. */
 export class MachineResources {
   readonly #used: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
   #occupants = 0;
@@ -29,7 +29,7 @@
     return this.machine.type.cpus - this.#used.cpus;
   }
 
-  /** What is free, as an object of the caller's own. */
+  /** A new object with the free resources, which the caller may modify. */
   free(): Resources {
     const { type } = this.machine;
     return {
@@ -39,7 +39,7 @@
     };
   }
 
-  /** The attempt comes to occupy its resources. */
+  /** Adds the attempt's resources to the used ones. */
   occupy(attempt: Attempt): void {
     this.#occupants += 1;
     this.#used.cpus += attempt.resources.cpus;
@@ -48,13 +48,13 @@
     this.listener?.onOccupied(this.machine, attempt);
   }
 
-  /** The attempt no longer occupies its resources. */
+  /** Subtracts the attempt's resources from the used ones. */
   release(attempt: Attempt): void {
     this.#occupants -= 1;
     this.#used.cpus -= attempt.resources.cpus;
     this.#used.gpus -= attempt.resources.gpus;
     this.#used.memoryGb -= attempt.resources.memoryGb;
-    // Sums of decimals drift; an empty machine is empty.
+    // Sums of decimals accumulate rounding errors, so an empty machine is reset to zero.
     if (this.#occupants === 0) {
       this.#used.cpus = 0;
       this.#used.gpus = 0;
--- a/src/coordination/shard/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -1,4 +1,4 @@
-/** @file One machine as the owner of its shard knows it. */
+/** @file One machine as the owner of its shard tracks it. */
 import type { MachineRecord } from '../../bookkeeping/records';
 import type { MachineType, Resources, WorkerHeartbeat } from '../../protocol/model';
 import type { Attempt, AttemptChange, TaskDescription } from './attempt';
@@ -10,30 +10,30 @@
 
 const BACKOFF_MS = 2_000;
 
-/** Why a machine takes no more tasks and is returned as soon as it may be. */
+/** Why a machine gets no more tasks and is released as soon as possible. */
 export type DrainReason = 'idle' | 'spot notice' | 'unresponsive' | 'late boot' | 'quarantined' | 'underused';
 
-/** What a machine is made from. */
+/** Arguments of `Machine`. */
 export interface MachineOptions {
   readonly id: string;
   readonly record: MachineRecord;
   readonly type: MachineType;
-  /** Since when this owner knows it, in steady time. The owner before it can have answered its worker until then. */
+  /** When this owner first saw it, in steady time. The previous owner may have responded to its worker until then. */
   readonly firstSeenAt: number;
   /** When it was rented, in steady time. */
   readonly rentedSince: number;
   readonly listener?: OccupancyListener;
 }
 
-/** A machine, its worker, and what is on it or may be. */
+/** A machine, its worker, and the attempts on it, unconfirmed ones included. */
 export class Machine {
   readonly id: string;
   readonly record: MachineRecord;
   readonly type: MachineType;
   readonly rentedSince: number;
-  /** What is known of its worker. */
+  /** The state of its worker. */
   readonly worker: WorkerLiveness;
-  /** Tasks that failed here since the last success. */
+  /** Consecutive task failures on this machine. */
   readonly failures = new FailureStreak();
   readonly #resources: MachineResources;
   readonly #images: ImageCache;
@@ -48,75 +48,75 @@
   #isTerminated = false;
   #backoffUntil = 0;
 
-  constructor({ id, record, type, firstSeenAt, rentedSince: knownSince, listener }: MachineOptions) {
+  constructor({ id, record, type, firstSeenAt, rentedSince, listener }: MachineOptions) {
     this.id = id;
     this.record = record;
     this.type = type;
-    this.rentedSince = knownSince;
+    this.rentedSince = rentedSince;
     this.#isUp = record.up;
     this.#idleSince = firstSeenAt;
-    // Before its first answer it is recorded as up; so one that isn't was never answered by the owners before this one.
+    // A machine is recorded as up before its first heartbeat gets a response. So if it isn't, no owner has responded.
     this.worker = new WorkerLiveness(firstSeenAt, !record.up);
     this.#resources = new MachineResources(this, listener);
     this.#images = new ImageCache(type.cacheGb);
     this.#attempts = new MachineAttempts(this.worker, this.#resources, this.#images);
   }
 
-  // Its worker.
+  // Worker.
 
-  /** Since when this owner knows it. */
+  /** When this owner first saw it, in steady time. */
   get firstSeenAt(): number {
     return this.worker.firstSeenAt;
   }
 
-  /** When the last message came that was newer than all before it. */
+  /** When the latest message of its worker arrived; delayed older messages don't count. */
   get lastHeartbeatAt(): number | undefined {
     return this.worker.lastHeartbeatAt;
   }
 
-  /** The worker's lease can't have begun later. */
+  /** The latest time at which the worker's current lease can have begun. */
   get latestLeaseStart(): number {
     return this.worker.latestLeaseStart;
   }
 
-  /** Since when it has shown no sign of receiving this owner's messages, though its heartbeats may arrive. */
+  /** When its worker became unresponsive, though its heartbeats may still arrive; undefined while it responds. */
   get unresponsiveSince(): number | undefined {
     return this.worker.unresponsiveSince;
   }
 
-  /** The last command to it was not answered, whether it arrived or not. */
+  /** Whether the last command to its worker got no response. */
   get isLastCommandUnanswered(): boolean {
     return this.worker.isLastCommandUnanswered;
   }
 
-  /** A message showed the owner's fencing token: nothing that an earlier owner sent can still start here. */
+  /** No command of an earlier owner can be executed here any more. */
   get isConfirmed(): boolean {
     return this.worker.isConfirmed;
   }
 
-  /** From this time on the worker has killed and forgotten all that it had. */
+  /** When the worker's lease has expired for certain: by then the worker has killed and forgotten all its attempts. */
   leaseExpiresAt(leaseMs: number): number {
     return this.worker.leaseExpiresAt(leaseMs);
   }
 
-  /** Whether its heartbeats have been missing for so long. */
+  /** Whether its last heartbeat is older than this. */
   hasMissedHeartbeats(now: number, missedMs: number): boolean {
     return this.worker.hasMissedHeartbeats(now, missedMs);
   }
 
-  /** Another controller may have answered its worker until now: its lease may have begun as late as that. */
+  /** Assumes that another controller responded to its worker as late as now, which renewed the worker's lease. */
   assumeHeartbeatAnswered(now: number): void {
     this.worker.assumeHeartbeatAnswered(now);
   }
 
-  // What is on it.
+  // Attempts.
 
-  /** The attempts on it, or that may be, by their keys. */
+  /** The attempts on it by their keys, unconfirmed ones included. */
   get attempts(): ReadonlyMap<string, Attempt> {
     return this.#attempts.byKey;
   }
 
-  /** Images that it should hold, least recently used first, and their sizes. */
+  /** Sizes of the images that it should have cached, least recently used first. */
   get cachedImages(): ReadonlyMap<string, number> {
     return this.#images.sizesGb;
   }
@@ -131,34 +131,34 @@
     return this.#resources.isBusy;
   }
 
-  /** What is free, as an object of the caller's own. */
+  /** A new object with the free resources, which the caller may modify. */
   freeResources(): Resources {
     return this.#resources.free();
   }
 
-  /** Puts an attempt on the machine that is issued by this owner. */
+  /** Adds an attempt that this owner issues. */
   addAttempt(attempt: Attempt): void {
     this.#attempts.add(attempt);
   }
 
-  /** The image is used, or about to be. */
+  /** Marks the image as most recently used. */
   touchImage(image: string, imageGb: number): void {
     this.#images.touch(image, imageGb);
   }
 
-  /** The start certainly never happened (refused, or never sent). */
+  /** Removes an attempt that was certainly never started: its start was refused or never sent. */
   discardUnstarted(key: string): AttemptChange | undefined {
     return this.#attempts.discardUnstarted(key);
   }
 
-  /** All that was on the machine is gone. */
+  /** Removes all attempts: the worker has stopped them, or the machine is gone. */
   dropAllAttempts(): AttemptChange[] {
     return this.#attempts.dropAll();
   }
 
   /**
-   * Takes in what a message of the worker says; `describe` describes tasks that we did not issue. Messages come late and
-   * out of order: an old one must change nothing.
+   * Applies a message of the worker; `describe` describes the tasks of attempts that this owner didn't issue. Messages
+   * may be delayed and reordered: one that is older than the latest changes nothing.
    */
   reconcile(
     heartbeat: WorkerHeartbeat,
@@ -169,7 +169,7 @@
     if (!this.worker.isNewer(heartbeat)) return [];
     const changes: AttemptChange[] = [];
     if (heartbeat.incarnation > this.worker.incarnation) {
-      // A later session proves that everything of the earlier ones is gone, late commands for them included.
+      // The worker killed all attempts when it began this incarnation, and rejects delayed commands for earlier ones.
       changes.push(...this.dropAllAttempts());
       this.worker.beginIncarnation(heartbeat.incarnation, now, leaseMs);
       this.#images.clear();
@@ -180,49 +180,49 @@
     return changes;
   }
 
-  // Whether it is used.
+  // Life cycle and use.
 
-  /** It is recorded as up: from then on its worker's heartbeats are answered. */
+  /** It is recorded as up. Only then do its worker's heartbeats get responses. */
   get isUp(): boolean {
     return this.#isUp;
   }
 
-  /** Its worker has sent a heartbeat: while it isn't up, only the record of that is missing. */
+  /** Its worker has sent a heartbeat; until `isUp`, the write of its record is pending. */
   get hasSentHeartbeat(): boolean {
     return this.#hasSentHeartbeat;
   }
 
-  /** Since when it has been of use to no task. */
+  /** The start of its idle time, which scale-in checks. */
   get idleSince(): number {
     return this.#idleSince;
   }
 
-  /** By when the cloud takes back a spot machine that it gave notice of. */
+  /** When the cloud takes the spot machine back, by its interruption notice. */
   get spotNoticeDeadline(): number | undefined {
     return this.#spotNoticeDeadline;
   }
 
-  /** Tasks fail here that succeed elsewhere. */
+  /** It gets no more tasks, because tasks fail here that succeed elsewhere. */
   get isQuarantined(): boolean {
     return this.#isQuarantined;
   }
 
-  /** It takes no more tasks and is returned as soon as it may be. */
+  /** Defined once it gets no more tasks and is released as soon as possible. */
   get drainReason(): DrainReason | undefined {
     return this.#drainReason;
   }
 
-  /** Its return was requested: it may disappear at any moment. */
+  /** Its release was requested from the cloud: it may disappear at any moment. */
   get isReleaseRequested(): boolean {
     return this.#isReleaseRequested;
   }
 
-  /** The cloud confirmed its end: late copies of its heartbeats must bring nothing back. */
+  /** The cloud confirmed its termination: delayed heartbeats of it must change nothing. */
   get isTerminated(): boolean {
     return this.#isTerminated;
   }
 
-  /** Whether tasks may be started here. */
+  /** Whether tasks may be placed here. */
   isSchedulable(now: number, leaseMs: number, missedMs: number): boolean {
     return (
       this.#isUp &&
@@ -233,19 +233,19 @@
     );
   }
 
-  /** The worker sends heartbeats, and the machine is about to be recorded as up. */
+  /** Notes the worker's first heartbeat; the machine is about to be recorded as up. */
   firstHeartbeatReceived(): void {
     this.#hasSentHeartbeat = true;
   }
 
-  /** It is recorded as up, at this address. */
+  /** Marks it as recorded as up, at this address. */
   markUp(address: string, now: number): void {
     this.#isUp = true;
     this.record.address = address;
     this.#idleSince = now;
   }
 
-  /** Its time without tasks counts from now on. */
+  /** Restarts its idle time. */
   restartIdleTime(now: number): void {
     this.#idleSince = now;
   }
@@ -255,38 +255,38 @@
     else this.#spotNoticeDeadline = Math.min(this.#spotNoticeDeadline ?? Infinity, now + noticeS * 1000);
   }
 
-  /** No starts for a while, after one that was refused or could not be delivered. */
+  /** Places no tasks here for `BACKOFF_MS`, after a start was refused or a command got no response. */
   backOff(now: number): void {
     this.#backoffUntil = now + BACKOFF_MS;
   }
 
-  /** No more tasks start here. */
+  /** Places no more tasks here. */
   quarantine(): void {
     this.#isQuarantined = true;
   }
 
-  /** No more tasks start here, and it is returned as soon as it may be. The first reason stays. */
+  /** Places no more tasks here and has it released as soon as possible. The first reason is kept. */
   drain(reason: DrainReason): void {
     this.#drainReason ??= reason;
   }
 
-  /** It is returned with all that is on it, whatever it was drained for before. */
+  /** Drains it as unresponsive, even if it is drained for another reason: it is released with its attempts. */
   drainAsUnresponsive(): void {
     this.#drainReason = 'unresponsive';
   }
 
-  /** It is used again if it was drained as unresponsive, responds, and is still there. */
+  /** Takes it back into use if it was drained as unresponsive, responds again, and its release is not requested. */
   cancelDrainIfResponsive(): void {
     const isDrainedAsUnresponsive = this.#drainReason === 'unresponsive' && !this.#isReleaseRequested;
     if (isDrainedAsUnresponsive && this.worker.unresponsiveSince === undefined) this.#drainReason = undefined;
   }
 
-  /** Its return is requested: it may disappear at any moment. */
+  /** Notes that its release is requested from the cloud. */
   markReleaseRequested(): void {
     this.#isReleaseRequested = true;
   }
 
-  /** The cloud confirmed its end. */
+  /** Notes that the cloud confirmed its termination. */
   markTerminated(): void {
     this.#isTerminated = true;
   }
--- a/src/coordination/shard/probe-queue.ts
+++ b/src/coordination/shard/probe-queue.ts
@@ -1,35 +1,35 @@
-/** @file The machines that are to be probed, at a pace that leaves time for all else. */
+/** @file Chooses the machines to probe and limits the rate of probes. */
 import type { Machine } from './machine';
 import type { Shard } from './shard';
 
-/** Between two probes of a machine. */
+/** Least time between two probes of a machine. */
 const PROBE_INTERVAL_MS = 1_000;
 /**
- * Probes that may be in flight and answered soon: each answer costs ten times a heartbeat. Those that have been in flight
- * for longer, to machines beyond a network partition, hold up no others: a few dozen at a time took half a minute for a
- * third of a fleet.
+ * Limit on in-flight probes that were sent since the last `fill`: a response costs ten times as much as a heartbeat.
+ * Older probes, to machines behind a network partition, don't count. When they did, probing a third of a fleet a few
+ * dozen at a time took half a minute.
  */
 const MAX_RECENT_PROBES = 24;
 
 /**
- * Machines whose workers are asked directly for their state: those that have not shown the owner's fencing token yet, for
- * their heartbeats may be on their way elsewhere, and those that seem to receive no messages.
+ * Machines to probe, that is, to request the state of their workers by a command: unconfirmed machines, because their
+ * workers may be sending heartbeats to other controllers, and unresponsive machines.
  */
 export class ProbeQueue {
-  /** The next one last. */
+  /** In reverse order: the next machine is last. */
   #machines: Machine[] = [];
   #filledAt = -Infinity;
-  /** Those probed since then whose answers may still come soon. */
+  /** Machines probed since `#filledAt` whose probes are in flight. */
   readonly #recent = new Set<Machine>();
 
   constructor(private readonly shard: Shard) {}
 
-  /** Fills the queue anew; those that were not probed for the longest time go first. */
+  /** Refills the queue; the machines whose last probe is the oldest come first. */
   fill(now: number): void {
     const { shard } = this;
     const due = new Set(shard.isAwaitingWorkers(now) ? [] : shard.unconfirmedMachines);
-    // Workers whose leases another controller relays may be within our reach all the same: their heartbeats go there, so
-    // they are probed.
+    // A worker whose lease another controller relays sends its heartbeats there. It is probed, because it may still be
+    // reachable from here.
     const { isRelayed } = shard;
     for (const machine of shard.machines.values()) {
       if (
@@ -43,7 +43,7 @@
     this.#machines = [...due].sort((a, b) => b.worker.lastProbeAt - a.worker.lastProbeAt);
   }
 
-  /** The next machine to probe; undefined when there is none, or too many were probed just now. */
+  /** The next machine to probe; undefined if there is none, or if `MAX_RECENT_PROBES` is reached. */
   next(now: number, commandsInFlight: ReadonlySet<Machine>): Machine | undefined {
     while (this.#recent.size < MAX_RECENT_PROBES) {
       const machine = this.#machines.pop();
@@ -57,14 +57,14 @@
     return undefined;
   }
 
-  /** The machine's probe has ended, answered or not. */
+  /** A command to the machine, perhaps its probe, got a response or failed. */
   onCommandEnded(machine: Machine): void {
     this.#recent.delete(machine);
   }
 
   #needsProbe(machine: Machine): boolean {
     if (!machine.isUp || machine.isTerminated) return false;
-    // A heartbeat that came meanwhile may have shown what the probe was for.
+    // A heartbeat since `fill` makes the probe unnecessary if the machine is confirmed and responsive.
     const hasSentHeartbeat = (machine.lastHeartbeatAt ?? -1) >= this.#filledAt;
     return !(machine.isConfirmed && machine.unresponsiveSince === undefined && hasSentHeartbeat);
   }
--- a/src/coordination/shard/quarantine-policy.ts
+++ b/src/coordination/shard/quarantine-policy.ts
@@ -1,23 +1,23 @@
-/** @file Tells faulty machines from faulty jobs by the tasks that fail. */
+/** @file Decides from task failures whether a machine or a job is faulty. */
 import type { DispatchTable } from './dispatch-table';
 import type { Machine } from './machine';
 
-/** Failures in a row of one job, which succeeds elsewhere, after which a machine is faulty. */
+/** Number of consecutive failures after which a machine is faulty, if the job succeeds elsewhere. */
 const FAULTY_AFTER_FAILURES_OF_ONE_JOB = 3;
-/** Different jobs failing in a row after which a machine is faulty. */
+/** Number of different jobs among the consecutive failures after which a machine is faulty. */
 const FAULTY_AFTER_FAILING_JOBS = 2;
 
 /**
- * Quarantines faulty machines. A machine is faulty when tasks of several jobs fail there in a row, or repeatedly tasks of
- * a job that succeeds elsewhere. A job that is suspect itself, because it failed on several machines, counts against none.
+ * Quarantines faulty machines: those where tasks of several jobs fail in a row, or tasks of one job that succeeds
+ * elsewhere fail repeatedly. A suspect job, one that failed on several machines, doesn't count against a machine.
  */
 export class QuarantinePolicy {
-  /** A task completed on the machine. */
+  /** Handles the success of a task on the machine. */
   onTaskSucceeded(machine: Machine): void {
     machine.failures.clear();
   }
 
-  /** A task of the table's job failed on the machine. */
+  /** Handles the failure of a task of the table's job on the machine. */
   onTaskFailed(machine: Machine, table: DispatchTable): void {
     if (table.isJobSuspect) return;
     const { failures } = machine;
--- a/src/coordination/shard/worker-commands.ts
+++ b/src/coordination/shard/worker-commands.ts
@@ -1,4 +1,4 @@
-/** @file The commands that make a machine's worker do what is wanted of it. */
+/** @file Computes the commands that bring a machine's attempts to their desired state. */
 import type { WorkerCommand } from '../../protocol/model';
 import type { Attempt } from './attempt';
 import type { DispatchTable } from './dispatch-table';
@@ -6,12 +6,12 @@
 
 const MAX_COMMANDS_PER_MESSAGE = 200;
 
-/** Whether the commands include starts. */
+/** Whether to include start commands. */
 export type StartPolicy = 'with starts' | 'without starts';
 
 /**
- * The difference between what is wanted of the machine and what is on it. Starts go by command only, never in the answer
- * to a heartbeat: a command's answer shows what became of them.
+ * The commands that bring the attempts on the machine to their desired state. Starts are only sent in command requests,
+ * never in the response to a heartbeat, because the response to a command request reports their results.
  */
 export function commandsFor(
   machine: Machine,
@@ -45,7 +45,7 @@
   return attempt.wasStartSent ? undefined : 'start';
 }
 
-/** A completion is forgotten only once it is recorded: until then only the worker remembers it. */
+/** False for a completion that is not recorded yet: until then the worker alone stores it. */
 function isOutcomeRecorded(attempt: Attempt, tables: ReadonlyMap<string, DispatchTable>): boolean {
   if (attempt.exitCause !== 'done') return true;
   const table = tables.get(attempt.job);
--- a/src/coordination/shard/worker-liveness.ts
+++ b/src/coordination/shard/worker-liveness.ts
@@ -1,16 +1,16 @@
 /**
- * @file What is known of the worker on one machine: its incarnation, its lease, and what its messages prove.
+ * @file The state of the worker on one machine: its incarnation, its lease, and the fencing token that it has seen.
  */
 import { DRIFT } from '../../bookkeeping/session';
 import type { WorkerHeartbeat } from '../../protocol/model';
 import { fencingTokenOf, type Attempt } from './attempt';
 
-/** Added to a worker's lease before its silence counts as the end of its tasks. */
+/** Safety margin after the end of a worker's lease before the lease counts as expired. */
 const LEASE_EXPIRY_MARGIN_MS = 500;
 
 /**
- * The messages of one worker and what may be concluded from them. Messages come late, out of order and more than once,
- * and may come from before this owner acquired the shard. All times are steady.
+ * Tracks the state of one worker by its messages. Messages may be delayed, reordered and duplicated, and may have been
+ * sent before this owner acquired the shard. All times are steady.
  */
 export class WorkerLiveness {
   #incarnation = 0;
@@ -28,76 +28,76 @@
   #wasNeverAnswered: boolean;
 
   constructor(
-    /** Since when this owner knows the machine. The owner before it can have answered the worker until then. */
+    /** When this owner first saw the machine. The previous owner may have responded to the worker until then. */
     readonly firstSeenAt: number,
     wasNeverAnswered: boolean,
   ) {
     this.#latestLeaseStart = firstSeenAt;
     this.#lastRenewalAt = firstSeenAt;
     this.#wasNeverAnswered = wasNeverAnswered;
-    // A machine that was never answered and never sent a command can't hold a task.
+    // A machine whose worker never got a response or a command can't have an attempt.
     this.#isConfirmed = wasNeverAnswered;
   }
 
-  /** The latest session of the worker; 0 before any is known. */
+  /** The latest incarnation in the worker's messages; 0 before the first verified message. */
   get incarnation(): number {
     return this.#incarnation;
   }
 
-  /** The highest fencing token that a message showed. */
+  /** The highest fencing token in the worker's messages: the worker rejects commands with a lower one. */
   get fencingTokenSeen(): number {
     return this.#fencingTokenSeen;
   }
 
-  /** When the last message came that was newer than all before it. */
+  /** When the latest message arrived; delayed older messages don't count. */
   get lastHeartbeatAt(): number | undefined {
     return this.#lastHeartbeatAt;
   }
 
-  /** The worker's lease can't have begun later: no heartbeat sent after this was answered, and no session is younger. */
+  /** Latest possible start of the worker's lease: no later heartbeat got a response, no later incarnation began. */
   get latestLeaseStart(): number {
     return this.#latestLeaseStart;
   }
 
   /**
-   * Since when it has shown no sign of receiving this owner's messages, though its heartbeats may arrive: a command went
-   * unanswered, or its lease ran out though its heartbeats were answered. Until a command is answered, no start leaves
-   * for it.
+   * When the worker became unresponsive; undefined while it responds. Its heartbeats may still arrive, but a command
+   * got no response, or its lease expired although its heartbeats got responses. It is sent no starts until a command
+   * gets a response.
    */
   get unresponsiveSince(): number | undefined {
     return this.#unresponsiveSince;
   }
 
-  /** When it was last probed. */
+  /** When it was last probed, or a command to it last got no response. */
   get lastProbeAt(): number {
     return this.#lastProbeAt;
   }
 
-  /** The last command to it was not answered, whether it arrived or not. */
+  /** Whether the last command got no response, whether or not the worker received it. */
   get isLastCommandUnanswered(): boolean {
     return this.#isLastCommandUnanswered;
   }
 
-  /** A message showed the owner's fencing token: nothing that an earlier owner sent can still start here. */
+  /** No command of an earlier owner can be executed any more: the worker rejects them, or was never sent one. */
   get isConfirmed(): boolean {
     return this.#isConfirmed;
   }
 
-  /** The session to address a command to. One that only an unverified heartbeat named will do, if there is no other. */
+  /** The incarnation to address commands to; that of an unverified heartbeat if no other is known. */
   get addressedIncarnation(): number {
     return this.#incarnation > 0 ? this.#incarnation : this.#unverifiedIncarnation;
   }
 
   /**
-   * Whether the worker's heartbeats are known to be no copies from before. One whose lease expired before any heartbeat
-   * of it was verified proves its messages new like any other: otherwise a heartbeat that was held up would bring back
-   * what ended with its session.
+   * Whether the worker's heartbeats can't date from before this owner acquired the shard. A worker whose lease expired
+   * before any of its heartbeats was verified must still show the owner's token or respond to a command: otherwise a
+   * delayed heartbeat would bring back attempts that ended with its incarnation.
    */
   get areHeartbeatsVerified(): boolean {
     return this.#isConfirmed && (this.#incarnation > 0 || this.#wasNeverAnswered);
   }
 
-  /** Whether this message is newer than all that is known of the worker. */
+  /** Whether the message is newer than all earlier ones of the worker. */
   isNewer(heartbeat: WorkerHeartbeat): boolean {
     return (
       heartbeat.incarnation > this.#incarnation ||
@@ -105,37 +105,38 @@
     );
   }
 
-  /** From this time on the worker has killed and forgotten all that it had. */
+  /** When the worker's lease has expired for certain: by then the worker has killed and forgotten all its attempts. */
   leaseExpiresAt(leaseMs: number): number {
     return this.#latestLeaseStart + leaseMs * (1 + 2 * DRIFT) + LEASE_EXPIRY_MARGIN_MS;
   }
 
-  /** Whether its heartbeats have been missing for so long; counted from when the machine became known, if none came. */
+  /** Whether its last heartbeat is older than this; without a heartbeat, time counts from `firstSeenAt`. */
   hasMissedHeartbeats(now: number, missedMs: number): boolean {
     return now - (this.#lastHeartbeatAt ?? this.firstSeenAt) > missedMs;
   }
 
-  /** Whether a heartbeat came, and not longer ago than this. */
+  /** Whether a heartbeat arrived within this time. */
   hasRecentHeartbeat(now: number, missedMs: number): boolean {
     return this.#lastHeartbeatAt !== undefined && now - this.#lastHeartbeatAt <= missedMs;
   }
 
-  /** Whether starts that are issued now would arrive, and would not be dropped. */
+  /** Whether attempts issued now would start, and would not be dropped by this owner. */
   mayReceiveStarts(now: number, leaseMs: number, missedMs: number): boolean {
     return (
       this.#isConfirmed &&
-      // Its heartbeats may arrive while no command reaches it: what is issued there would be stuck until its lease ends.
+      // Its heartbeats may arrive while commands don't: an attempt issued there would be stuck until its lease expires.
       this.#unresponsiveSince === undefined &&
-      // An answer to a command shows that the worker is there, but only an answered heartbeat renews its lease. What is
-      // issued to a worker whose lease has run out by our count would be dropped at once, though it starts.
+      // A response to a command shows that the worker is reachable, but only responses to heartbeats renew its lease.
+      // If the lease has expired by this owner's count, an attempt issued now would start and yet be dropped at once.
       now < this.#lastRenewalAt + leaseMs &&
       this.hasRecentHeartbeat(now, missedMs)
     );
   }
 
   /**
-   * A start that was never answered may be carried out minutes later, while the worker's token and session still
-   * match; so its absence from a heartbeat proves nothing before the worker has seen a higher token.
+   * Whether the worker may still execute the attempt's start. A start command without a response may arrive minutes
+   * late, and is executed if the worker's token and incarnation still match. So absence from a heartbeat does not show
+   * that the attempt won't start until the worker has seen a higher token.
    */
   isStartUnconfirmed(attempt: Attempt): boolean {
     return (
@@ -145,8 +146,8 @@
   }
 
   /**
-   * After `forget` a late or repeated copy of the start would start the attempt anew: it must not be sent before the
-   * worker refuses the token of that start.
+   * Whether `forget` may be sent for the attempt. After it, a delayed or duplicated start command would start the
+   * attempt again, so the worker must already reject the token of that command.
    */
   isSafeToForget(attempt: Attempt): boolean {
     return (
@@ -156,18 +157,18 @@
     );
   }
 
-  /** A message shows a later session than all before. */
+  /** Handles the first message of a new incarnation. */
   beginIncarnation(incarnation: number, now: number, leaseMs: number): void {
-    // It was answered not long ago, yet its lease ran out: the answers don't reach it.
+    // Its lease was renewed not long ago and yet expired at the worker: the responses don't reach it.
     if (this.#incarnation > 0 && now - this.#lastRenewalAt < leaseMs / 2) this.#unresponsiveSince ??= now;
     this.#incarnation = incarnation;
-    // A session has a full lease from its beginning, which may be as late as now, though no heartbeat of it was ever
-    // answered: counted from an earlier answer, its lease would seem expired while its tasks run.
+    // An incarnation begins with a full lease, perhaps as late as now, even if none of its heartbeats got a response.
+    // Counted from an earlier response, the lease would seem expired while its tasks run.
     this.assumeHeartbeatAnswered(now);
     this.#lastRenewalAt = now;
   }
 
-  /** A message that is newer than all before it. */
+  /** Handles a message that is newer than all earlier ones. */
   heartbeatReceived(heartbeat: WorkerHeartbeat, now: number): void {
     this.#sequence = heartbeat.sequence;
     this.#fencingTokenSeen = Math.max(this.#fencingTokenSeen, heartbeat.fencingToken);
@@ -175,8 +176,8 @@
   }
 
   /**
-   * A heartbeat came that may be a copy from before. The session that it names is good enough to address a probe, and
-   * for nothing else. Returns how many such heartbeats came before the machine was confirmed.
+   * Handles a heartbeat that may have been sent before this owner acquired the shard. Its incarnation is only used to
+   * address a probe. Returns how many such heartbeats arrived before the machine was confirmed.
    */
   unverifiedHeartbeatReceived(incarnation: number): number {
     this.#unverifiedIncarnation = incarnation;
@@ -184,30 +185,30 @@
     return this.#unverifiedHeartbeats;
   }
 
-  /** A heartbeat is answered, be it a late copy: that counts for how long the worker's tasks may live. */
+  /** A heartbeat, perhaps a delayed duplicate, got a response: the worker's attempts may live for a lease from now. */
   heartbeatAnswered(now: number): void {
     this.#latestLeaseStart = now;
   }
 
   /**
-   * A heartbeat that was news is answered, which renews the worker's lease. The answer to a late copy reaches no worker,
-   * so it may not count for the worker's life; it does count, in `heartbeatAnswered`, for how long its tasks may live.
+   * A new heartbeat gets a response, which renews the worker's lease. The response to a delayed duplicate reaches no
+   * worker, so it isn't counted here, but only in `heartbeatAnswered`, for how long the worker's attempts may live.
    */
   leaseRenewed(now: number): void {
     this.#lastRenewalAt = now;
   }
 
-  /** Another controller may have answered the worker until now: its lease may have begun as late as that. */
+  /** Assumes that another controller responded to the worker as late as now, which renewed its lease. */
   assumeHeartbeatAnswered(now: number): void {
     this.#latestLeaseStart = Math.max(this.#latestLeaseStart, now);
   }
 
-  /** It is the machine's turn to be probed. */
+  /** The machine is being probed. */
   probed(now: number): void {
     this.#lastProbeAt = now;
   }
 
-  /** The last command was answered: executed or refused. */
+  /** The last command got a response: executed or refused. */
   commandAnswered(): void {
     this.#isLastCommandUnanswered = false;
     this.#unresponsiveSince = undefined;
@@ -218,19 +219,19 @@
     this.#isLastCommandUnanswered = true;
   }
 
-  /** The last command was sent and got no answer. */
+  /** The last command was sent and got no response. */
   commandUnanswered(now: number): void {
     this.#isLastCommandUnanswered = true;
     this.#unresponsiveSince ??= now;
     this.#lastProbeAt = now;
   }
 
-  /** Nothing that an earlier owner sent can still start here. */
+  /** Marks the worker as confirmed: no command of an earlier owner can be executed any more. */
   confirm(): void {
     this.#isConfirmed = true;
   }
 
-  /** No owner can have answered it, so that its first heartbeat is no copy from before. */
+  /** Notes that no owner has responded to the worker, so its heartbeats can't date from before this owner. */
   markNeverAnswered(): void {
     this.#wasNeverAnswered = true;
   }
