--- a/src/coordination/autoscaling/scaling-plan.ts
+++ b/src/coordination/autoscaling/scaling-plan.ts
@@ -35,7 +35,7 @@
   /** How long its tasks can still wait and be in time. */
   readonly slackMs: number;
   /** How many of the job's tasks are, or may be, in each zone. */
-  readonly zones?: ReadonlyMap<string, number>;
+  readonly tasksPerZone?: ReadonlyMap<string, number>;
 }
 
 /** A snapshot of the waiting work and of the fleet. */
@@ -51,7 +51,7 @@
   /** How long a machine must have been idle to be returned. */
   readonly idleReleaseMs: number;
   /** Whether all that waits may be placed: before, idle machines are kept for it. */
-  readonly mayAllStart: boolean;
+  readonly areAllMachinesConfirmed: boolean;
   /** Idle CPUs to keep for work that should start at once. */
   readonly warmCpus: number;
   /** CPUs that are free on machines where tasks may start. */
@@ -91,7 +91,7 @@
 export function planScaling(input: ScalingInput): ScalingPlan {
   const planner = new ScaleOutPlanner(input);
   for (const work of input.unplaced) planner.place(work);
-  return { scaleOut: planner.requests(), scaleIn: input.mayAllStart ? chooseScaleIn(input) : [] };
+  return { scaleOut: planner.requests(), scaleIn: input.areAllMachinesConfirmed ? chooseScaleIn(input) : [] };
 }
 
 /** A machine that boots or is to be rented, with the room that is left there. */
@@ -126,7 +126,7 @@
   place(work: UnplacedWork): void {
     const { job } = work;
     // A machine in a zone that the job's other tasks exclude is of no use to it, however many are rented there.
-    const zones: ZoneCounts = new Map(work.zones);
+    const zones: ZoneCounts = new Map(work.tasksPerZone);
     let left = work.count - this.#absorb(work, zones);
     // Rooms only shrink and zones only fill: a bin without room for one task of a job has none for the job's next.
     let index = 0;
--- a/src/coordination/shard/worker-liveness.ts
+++ b/src/coordination/shard/worker-liveness.ts
@@ -1,7 +1,7 @@
 /**
  * @file The state of the worker on one machine: its incarnation, its lease, and the fencing token that it has seen.
  */
-import { DRIFT } from '../../bookkeeping/session';
+import { MAX_CLOCK_DRIFT } from '../../bookkeeping/session';
 import type { WorkerHeartbeat } from '../../protocol/model';
 import { fencingTokenOf, type Attempt } from './attempt';
 
@@ -107,7 +107,7 @@
 
   /** When the worker's lease has expired for certain: by then the worker has killed and forgotten all its attempts. */
   leaseExpiresAt(leaseMs: number): number {
-    return this.#latestLeaseStart + leaseMs * (1 + 2 * DRIFT) + LEASE_EXPIRY_MARGIN_MS;
+    return this.#latestLeaseStart + leaseMs * (1 + 2 * MAX_CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_MS;
   }
 
   /** Whether its last heartbeat is older than this; without a heartbeat, time counts from `firstSeenAt`. */
