--- a/src/coordination/shard/attempt.ts
+++ b/src/coordination/shard/attempt.ts
@@ -148,7 +148,7 @@
     this.#isStartInFlight = true;
   }
 
-  /** The command with its start was answered, or failed. */
+  /** The command with its start got a response, or failed. */
   startCommandEnded(): void {
     this.#isStartInFlight = false;
   }
--- a/src/coordination/shard/quarantine-policy.ts
+++ b/src/coordination/shard/quarantine-policy.ts
@@ -9,7 +9,7 @@
 
 /**
  * Quarantines faulty machines: those where tasks of several jobs fail in a row, or tasks of one job that succeeds
- * elsewhere fail repeatedly. A suspect job, one that failed on several machines, doesn't count against a machine.
+ * elsewhere fail repeatedly. Failures of a likely faulty job, one that failed on several machines, don't count.
  */
 export class QuarantinePolicy {
   /** Handles the success of a task on the machine. */
