--- a/src/coordination/shard/machine-registration.ts
+++ b/src/coordination/shard/machine-registration.ts
@@ -1,4 +1,4 @@
-/** @file Records that machines are up before their first heartbeats are answered. */
+/** @file Records machines as up before their first heartbeats get a response. */
 import { describeError } from '../../base/loop';
 import { changesAtOnce } from '../../base/state-limits';
 import { KEY, type MachineRecord } from '../../bookkeeping/records';
@@ -7,16 +7,16 @@
 import type { Machine } from './machine';
 import type { Shard } from './shard';
 
-const GATHER_MS = 40;
-const MAX_RECORDS_AT_ONCE = 12;
+const BATCHING_DELAY_MS = 40;
+const MAX_RECORDS_PER_TRANSACTION = 12;
 
-/** What became of the record of a machine. `conflict`: another writer changed it meanwhile. */
+/** The outcome of writing a machine's record. `conflict`: another writer changed the record first. */
 export type RegistrationOutcome = 'recorded' | 'conflict' | 'failed';
 
-/** A machine of the shard, or the record of a rental that was never written. */
+/** A machine that the shard has, or the unwritten record of a rented machine. */
 type RecordSubject = { kind: 'known'; machine: Machine } | { kind: 'rental'; record: MachineRecord };
 
-/** A machine whose worker sends heartbeats, and whose record is to say so. */
+/** A machine whose worker sends heartbeats, and which is to be recorded as up. */
 interface PendingRecord {
   readonly id: string;
   readonly address: string;
@@ -25,7 +25,7 @@
   resolve(outcome: RegistrationOutcome): void;
 }
 
-/** One record of a transaction. */
+/** The write of one record in a transaction. */
 interface RecordWrite {
   readonly pending: PendingRecord;
   readonly condition: Condition;
@@ -33,11 +33,11 @@
 }
 
 /**
- * Before a machine gets its first answer it is recorded as up: after a failover the next owner then knows that it may
- * hold tasks. Machines come up by the dozen, so what is to be recorded within a moment goes into one transaction.
+ * Records machines as up. A machine's first heartbeat gets no response before that, so that after a failover the next
+ * owner knows which machines may have tasks. Machines come up by the dozen, so their records are written in batches.
  *
- * A machine may be up before the record of its rental was written, as the limit on changes allows only dozens a second:
- * one write then records both.
+ * The key-value store's limit on changes allows only dozens of records a second, so a machine may come up before its
+ * rental is recorded. One write then records both.
  */
 export class MachineRegistration {
   readonly #pending = new Map<string, PendingRecord>();
@@ -48,17 +48,17 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** How many records are still to be written. */
+  /** Number of pending records. */
   get size(): number {
     return this.#pending.size;
   }
 
-  /** Records that a machine of the shard is up. Resolves to true when that is done. */
+  /** Records a machine of the shard as up; resolves to whether that succeeded. */
   async register(machine: Machine, address: string): Promise<boolean> {
     return (await this.#enqueue(machine.id, address, { kind: 'known', machine })) === 'recorded';
   }
 
-  /** Records a machine that was rented for the shard and has no record yet, as up. */
+  /** Records a machine as up that was rented for the shard and has no record yet. */
   registerUnrecorded(id: string, address: string, record: MachineRecord): Promise<RegistrationOutcome> {
     return this.#enqueue(id, address, { kind: 'rental', record });
   }
@@ -77,10 +77,13 @@
 
   async #writeAll(): Promise<void> {
     this.#isWriting = true;
-    await this.context.clock.sleep(GATHER_MS);
+    await this.context.clock.sleep(BATCHING_DELAY_MS);
     while (this.#pending.size > 0) {
-      const most = changesAtOnce(this.context.settings.platform.deployment.state, MAX_RECORDS_AT_ONCE);
-      const batch = [...this.#pending.values()].slice(0, most);
+      const maxRecords = changesAtOnce(
+        this.context.settings.platform.deployment.state,
+        MAX_RECORDS_PER_TRANSACTION,
+      );
+      const batch = [...this.#pending.values()].slice(0, maxRecords);
       const outcomes = await this.#write(batch);
       for (const pending of batch) {
         this.#pending.delete(pending.id);
@@ -90,22 +93,22 @@
     this.#isWriting = false;
   }
 
-  /** Writes the records of a batch; those that aren't named in the result were not written. */
+  /** Writes a batch of records. Records without an entry in the result were not written. */
   async #write(batch: readonly PendingRecord[]): Promise<Map<PendingRecord, RegistrationOutcome>> {
     const outcomes = new Map<PendingRecord, RegistrationOutcome>();
     try {
-      let open = batch.flatMap((pending) => this.#prepare(pending) ?? []);
-      while (open.length > 0) {
-        const failed = await this.#writeTogether(open);
+      let unwritten = batch.flatMap((pending) => this.#prepare(pending) ?? []);
+      while (unwritten.length > 0) {
+        const failed = await this.#writeInTransaction(unwritten);
         if (failed === undefined) {
-          for (const { pending } of open) outcomes.set(pending, 'recorded');
+          for (const { pending } of unwritten) outcomes.set(pending, 'recorded');
           break;
         }
-        // A record that changed meanwhile holds up no other.
-        const conflicts = open.filter(({ condition }) => failed.includes(condition.key));
+        // One conflict fails the whole transaction: it is retried without the records that changed.
+        const conflicts = unwritten.filter(({ condition }) => failed.includes(condition.key));
         for (const { pending } of conflicts) outcomes.set(pending, 'conflict');
         if (conflicts.length === 0) break;
-        open = open.filter((write) => !conflicts.includes(write));
+        unwritten = unwritten.filter((write) => !conflicts.includes(write));
       }
     } catch (error) {
       this.context.log.info({ err: describeError(error) }, 'machines could not be registered as up');
@@ -118,25 +121,25 @@
     const key = KEY.machine(id);
     const version = this.context.cache.version(key);
     const isRental = subject.kind === 'rental';
-    // A rental that has a record meanwhile is known to the shard; a known machine without one was returned while it
-    // waited, and a condition on its absence would bring it back, as up.
+    // A rental that has a record by now is in the shard already. A machine of the shard without a record was released
+    // while its write was pending: a write on the condition that no record exists would recreate it, as up.
     if (isRental ? version > 0 : version === 0) return undefined;
     const record = isRental ? subject.record : subject.machine.record;
     return { pending, condition: { key, version }, value: { ...record, address, up: true } };
   }
 
-  /** One transaction. Undefined: it was carried out; otherwise the keys whose conditions failed. */
-  async #writeTogether(writes: readonly RecordWrite[]): Promise<string[] | undefined> {
+  /** Runs one transaction. Returns undefined on success, else the keys whose conditions failed. */
+  async #writeInTransaction(writes: readonly RecordWrite[]): Promise<string[] | undefined> {
     const result = await this.context.store.compareAndSwap(
       [this.shard.leaseCondition(), ...writes.map(({ condition }) => condition)],
       writes.map(({ condition, value }) => ({ put: condition.key, value })),
     );
     if (!result.ok) return result.failed;
-    for (const write of writes) this.#recorded(write, result.revision);
+    for (const write of writes) this.#onRecorded(write, result.revision);
     return undefined;
   }
 
-  #recorded({ pending, condition, value }: RecordWrite, version: number): void {
+  #onRecorded({ pending, condition, value }: RecordWrite, version: number): void {
     const { subject, id } = pending;
     if (subject.kind === 'rental') {
       this.context.publish({ key: condition.key, version, value, deleted: false });
@@ -145,7 +148,7 @@
     if (!machine) return;
     const now = this.context.clock.now();
     machine.markUp(pending.address, now);
-    // It was rented for this shard and had no record until now, so no owner can have answered it: it holds nothing.
+    // A machine without a record never got a response to a heartbeat from any owner, so it has no attempts.
     if (subject.kind === 'rental') {
       machine.worker.markNeverAnswered();
       this.shard.confirm(machine);
