--- a/src/coordination/autoscaling/autoscaler-shard.ts
+++ b/src/coordination/autoscaling/autoscaler-shard.ts
@@ -1,20 +1,20 @@
-/** @file What scaling needs of a shard's owner. */
+/** @file The interface of a shard owner for the autoscaler. */
 import type { Condition } from '../../protocol/key-value-store';
 import type { Machine } from '../shard/machine';
 import type { InstanceOption, ScalingInput } from './scaling-plan';
 
-/** A shard's owner, as scaling sees it. */
+/** The members of a shard owner that the autoscaler uses. */
 export interface AutoscalerShard {
   /** The shard's number. */
   readonly shard: number;
   readonly machines: ReadonlyMap<string, Machine>;
-  /** Whether the owner may act for the shard at this very moment. */
+  /** Whether the owner holds a valid lease for the shard at this moment. */
   readonly entitled: boolean;
-  /** How many machines send heartbeats and wait for a record that they are up. */
+  /** Number of machines that send heartbeats and are not yet recorded as up. */
   readonly pendingRegistrations: number;
   leaseCondition(): Condition;
-  /** What the last round found no room for, and the present state of the fleet. */
+  /** The tasks that the last round could not place, and a snapshot of the fleet; undefined before they are known. */
   scalingInput(isBackedOff: (option: InstanceOption) => boolean): ScalingInput | undefined;
-  /** The cloud confirmed that the machine, and all on it, is gone. */
+  /** Called when the cloud has confirmed that the machine is terminated, with all tasks on it. */
   onMachineTerminated(machine: Machine): void;
 }
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -1,4 +1,4 @@
-/** @file Scales a shard's fleet: rents, records and returns its machines. */
+/** @file Scales a shard's fleet: rents, records and releases its machines. */
 import type { MachineRecord } from '../../bookkeeping/records';
 import type { ControllerContext } from '../controller-context';
 import type { RegistrationOutcome } from '../shard/machine-registration';
@@ -8,8 +8,8 @@
 import { ScaleOut } from './scale-out';
 
 /**
- * Rents and returns the shard's machines in three independent loops: a cloud that doesn't take machines back can still
- * rent, and a slow key-value store doesn't delay renting.
+ * Rents, records and releases the shard's machines in three independent loops, so that renting goes on while the cloud
+ * fails to delete machines or the key-value store is slow.
  */
 export class Autoscaler {
   readonly #rentals: RentalRecorder;
@@ -22,32 +22,32 @@
     this.#scaleIn = new ScaleIn(owner, context);
   }
 
-  /** Whether the machine was rented here and has no record yet. */
+  /** Whether this owner rented the machine and it has no record yet. */
   isUnrecorded(id: string): boolean {
     return this.#rentals.isUnrecorded(id);
   }
 
-  /** The worker of a machine without a record sends heartbeats: returns the record to write, which others then do. */
+  /** Called at a heartbeat from a machine without a record. Returns the record, which the caller writes. */
   beginRegistration(id: string): MachineRecord | undefined {
     return this.#rentals.beginRegistration(id);
   }
 
-  /** What became of a record that was begun. */
+  /** Called with the outcome of a registration that `beginRegistration` began. */
   endRegistration(id: string, outcome: RegistrationOutcome): void {
     this.#rentals.endRegistration(id, outcome);
   }
 
-  /** One step of returning machines; to be run in a loop of its own. */
+  /** One step of scale-in; to be run in a loop of its own. */
   scaleInStep(signal: AbortSignal): Promise<void> {
     return this.#scaleIn.step(signal);
   }
 
-  /** One step of renting; to be run in a loop of its own. */
+  /** One step of scale-out; to be run in a loop of its own. */
   scaleOutStep(signal: AbortSignal): Promise<void> {
     return this.#scaleOut.step(signal);
   }
 
-  /** One step of recording what was rented; to be run in a loop of its own. */
+  /** One step of recording rented machines; to be run in a loop of its own. */
   recordRentalsStep(signal: AbortSignal): Promise<void> {
     return this.#rentals.step(signal);
   }
--- a/src/coordination/autoscaling/cloud-inventory.ts
+++ b/src/coordination/autoscaling/cloud-inventory.ts
@@ -7,20 +7,20 @@
 
 const MIN_POLL_INTERVAL_MS = 6_000;
 /**
- * Least time for each page of the list. The list of a large fleet takes many calls, of the few a second that the cloud
- * allows all controllers together: read every six seconds, it would leave hardly any for rentals and returns.
+ * Minimum interval for each page of the list. The list of a large fleet takes many calls, and all controllers together
+ * may make only a few a second: read every six seconds, it would leave hardly any calls to rent and delete machines.
  */
 const MIN_INTERVAL_PER_PAGE_MS = 2_000;
-/** How long the deletion of a machine's record is remembered: the list lags by less. */
+/** How long the deletion of a machine's record is remembered; the list lags by less than this. */
 const DELETION_MEMORY_MS = 120_000;
 
 /**
- * The cloud's list of machines. It lags and may go back, so it serves to find machines without a record and failed ones;
- * it never proves that a machine is gone.
+ * The cloud's list of machines. It lags, and may show an older state than before. So it is used only to find failed
+ * machines and machines without a record; a machine that is missing from it may still exist.
  */
 export class CloudInventory {
   #listed: ListedMachine[] = [];
-  /** When the records of machines were deleted, by machine: a list that lags still names them. */
+  /** When machines' records were deleted, by machine; a lagging list may still contain these machines. */
   readonly #recordDeletedAt = new Map<string, number>();
 
   constructor(
@@ -28,7 +28,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Follows which machines' records are deleted. */
+  /** Tracks deletions of machine records. */
   subscribe(cache: WatchCache): void {
     cache.onChange((event) => {
       if (!event.deleted || !event.key.startsWith(PREFIX.machine)) return;
@@ -36,12 +36,12 @@
     });
   }
 
-  /** The machines by the latest list; none before the first. */
+  /** The machines of the latest list; empty before the first. */
   machines(): readonly ListedMachine[] {
     return this.#listed;
   }
 
-  /** Whether the machine's record was deleted a short while ago, so that the list may name it though it is gone. */
+  /** Whether the record was deleted so recently that a lagging list may still contain the terminated machine. */
   wasRecordDeletedRecently(id: string): boolean {
     return this.#recordDeletedAt.has(id);
   }
--- a/src/coordination/autoscaling/rental-recorder.ts
+++ b/src/coordination/autoscaling/rental-recorder.ts
@@ -8,31 +8,31 @@
 import type { AutoscalerShard } from './autoscaler-shard';
 import type { FleetMachine, InstanceOption } from './scaling-plan';
 
-const RETRY_MS = 700;
-/** How long a step waits for a rental at most. */
+const CONFLICT_RETRY_MS = 700;
+/** Longest wait of a step for a new rental. */
 const MAX_WAIT_MS = 1_000;
-/** Small batches, so that other writes get their share of a small limit on changes. */
+/** Small batches leave other writes their share of a low limit on changes. */
 const MAX_RECORDS_PER_WRITE = 8;
-/** Rentals are recorded while no more machines than this wait for being recorded as up. */
+/** Rentals are recorded only while at most this many machines wait to be recorded as up. */
 const MAX_PENDING_REGISTRATIONS = 12;
 
-/** A rented machine that the key-value store does not know yet. */
+/** A rented machine without a record in the key-value store. */
 interface UnrecordedMachine {
   readonly option: InstanceOption;
   readonly rentedAt: number;
-  /** Its worker sends heartbeats, so it is being recorded as up; see `MachineRegistration`. */
-  isUp: boolean;
+  /** Its worker sends heartbeats, and `MachineRegistration` is recording it as up. */
+  isBeingRegistered: boolean;
 }
 
-/** A record to write, and the machine that it is of. */
+/** A machine record to write. */
 interface RecordWrite {
   readonly id: string;
   readonly put: { put: string; value: MachineRecord };
 }
 
 /**
- * Rented machines without a record. Within the limit on changes, recording hundreds of machines takes longer than renting
- * them, and users' requests have to be written in between.
+ * Records rented machines. Within the limit on changes, recording hundreds of machines takes longer than renting them,
+ * and users' requests have to be written in between.
  */
 export class RentalRecorder {
   readonly #unrecorded = new Map<string, UnrecordedMachine>();
@@ -45,16 +45,16 @@
     this.#wake = new WakeSignal(context.clock);
   }
 
-  /** Takes in machines that were rented just now. */
+  /** Adds machines that were just rented. */
   add(ids: readonly string[], { type, zone, spot }: InstanceOption): void {
     const rentedAt = this.context.clock.date().getTime();
     for (const id of ids) {
-      this.#unrecorded.set(id, { option: { type, zone, spot }, rentedAt, isUp: false });
+      this.#unrecorded.set(id, { option: { type, zone, spot }, rentedAt, isBeingRegistered: false });
     }
     this.#wake.wake();
   }
 
-  /** The machines without a record, as machines of the fleet that boot. */
+  /** The machines without a record, as booting machines of the fleet. */
   bootingMachines(): FleetMachine[] {
     return [...this.#unrecorded].map(([id, { option }]) => ({
       id,
@@ -67,32 +67,32 @@
     }));
   }
 
-  /** Whether the machine was rented here and has no record yet. */
+  /** Whether this owner rented the machine and it has no record yet. */
   isUnrecorded(id: string): boolean {
     return this.#unrecorded.has(id);
   }
 
-  /** The worker of a machine without a record sends heartbeats: returns the record to write, which others then do. */
+  /** Called at a heartbeat from a machine without a record. Returns the record, which the caller writes. */
   beginRegistration(id: string): MachineRecord | undefined {
     const rental = this.#unrecorded.get(id);
     if (!rental) return undefined;
-    rental.isUp = true;
+    rental.isBeingRegistered = true;
     return this.#recordOf(rental);
   }
 
-  /** What became of a record that was begun. */
+  /** Called with the outcome of a registration that `beginRegistration` began. */
   endRegistration(id: string, outcome: RegistrationOutcome): void {
     const rental = this.#unrecorded.get(id);
-    if (rental) rental.isUp = false;
-    // With a conflict it was adopted from the cloud's list.
+    if (rental) rental.isBeingRegistered = false;
+    // A conflict means that the leader has adopted the machine from the cloud's list.
     if (outcome !== 'failed') this.#unrecorded.delete(id);
   }
 
-  /** Records what was rented; to be run in a loop of its own. */
+  /** One step of recording rented machines; to be run in a loop of its own. */
   async step(signal: AbortSignal): Promise<void> {
     await this.#wake.wait(MAX_WAIT_MS);
     while (!signal.aborted && this.owner.entitled) {
-      // Machines that are up wait for their records; those that boot do without for now.
+      // Machines that are up go first: their heartbeats get no response before their records are written.
       if (this.owner.pendingRegistrations > MAX_PENDING_REGISTRATIONS) return;
       const batch = this.#nextBatch();
       if (batch.length === 0) return;
@@ -101,7 +101,7 @@
         this.#onRecorded(batch, result.revision);
       } else {
         this.#onConflict(batch, result.failed);
-        await this.context.clock.sleep(RETRY_MS, signal);
+        await this.context.clock.sleep(CONFLICT_RETRY_MS, signal);
       }
     }
   }
@@ -109,7 +109,7 @@
   #nextBatch(): RecordWrite[] {
     const { state } = this.context.settings.platform.deployment;
     return [...this.#unrecorded]
-      .filter(([, rental]) => !rental.isUp)
+      .filter(([, rental]) => !rental.isBeingRegistered)
       .slice(0, changesAtOnce(state, MAX_RECORDS_PER_WRITE))
       .map(([id, rental]) => ({ id, put: { put: KEY.machine(id), value: this.#recordOf(rental) } }));
   }
@@ -130,7 +130,7 @@
     }
   }
 
-  /** A machine that has a record already was adopted from the cloud's list; the others are tried again. */
+  /** Drops machines that have a record, because the leader adopted them; the others are retried. */
   #onConflict(batch: readonly RecordWrite[], failedKeys: readonly string[]): void {
     for (const { id, put } of batch) if (failedKeys.includes(put.put)) this.#unrecorded.delete(id);
   }
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -1,4 +1,4 @@
-/** @file Returns a shard's drained machines to the cloud. */
+/** @file Releases a shard's drained machines. */
 import { changesAtOnce } from '../../base/state-limits';
 import { KEY } from '../../bookkeeping/records';
 import { MAX_MACHINES_PER_DELETE } from '../../protocol/cloud';
@@ -7,12 +7,12 @@
 import type { AutoscalerShard } from './autoscaler-shard';
 
 const INTERVAL_MS = 700;
-/** Small batches, so that other writes get their share of a small limit on changes. */
+/** Small batches leave other writes their share of a low limit on changes. */
 const MAX_RECORDS_PER_DELETE = 20;
 
-/** Returns drained machines, and deletes their records when the cloud has confirmed their end. */
+/** Releases drained machines, and deletes their records once the cloud has confirmed their termination. */
 export class ScaleIn {
-  /** Returned machines whose records could not be deleted yet. */
+  /** Terminated machines whose records are not deleted yet. */
   readonly #terminated = new Set<string>();
 
   constructor(
@@ -24,30 +24,33 @@
   async step(signal: AbortSignal): Promise<void> {
     await this.context.clock.sleep(INTERVAL_MS, signal);
     if (signal.aborted || !this.owner.entitled) return;
-    // Records are deleted last: that needs the key-value store, while the return of a machine may be what stops a
-    // cancelled task in time.
-    await this.#returnMachines();
+    // Records are deleted last, because that needs the key-value store: releasing a machine may be the only way to stop
+    // a cancelled task in time.
+    await this.#releaseMachines();
     await this.#deleteRecords();
   }
 
-  async #returnMachines(): Promise<void> {
-    const leaving = [...this.owner.machines.values()].filter((machine) => this.#mayBeReturned(machine));
-    if (leaving.length === 0) return;
-    const batch = leaving.slice(0, MAX_MACHINES_PER_DELETE);
-    // From here on the machine may disappear at any moment, whatever the cloud answers: it is never used again.
+  async #releaseMachines(): Promise<void> {
+    const releasable = [...this.owner.machines.values()].filter((machine) => this.#isReleasable(machine));
+    if (releasable.length === 0) return;
+    const batch = releasable.slice(0, MAX_MACHINES_PER_DELETE);
+    // Whatever the cloud responds, the machines may now disappear at any moment, so they are never used again.
     for (const machine of batch) machine.markReleaseRequested();
     await this.context.cloud.deleteMachines(
       batch.map((machine) => machine.id),
       () => this.owner.entitled,
     );
     for (const machine of batch) {
-      this.context.log.info({ machine: machine.id, why: machine.drainReason }, 'scale-in: machine returned');
+      this.context.log.info(
+        { machine: machine.id, why: machine.drainReason },
+        'scale-in: machine terminated',
+      );
       this.owner.onMachineTerminated(machine);
       this.#terminated.add(machine.id);
     }
   }
 
-  #mayBeReturned(machine: Machine): boolean {
+  #isReleasable(machine: Machine): boolean {
     if (machine.drainReason === undefined || this.#terminated.has(machine.id)) return false;
     return !machine.isBusy || machine.drainReason === 'unresponsive';
   }
--- a/src/coordination/autoscaling/scale-out.ts
+++ b/src/coordination/autoscaling/scale-out.ts
@@ -1,4 +1,4 @@
-/** @file Rents machines for a shard's waiting work. */
+/** @file Rents machines for a shard's pending tasks. */
 import { describeError } from '../../base/loop';
 import {
   CloudRejectedError,
@@ -11,14 +11,14 @@
 import { optionKey, planScaling, type InstanceOption, type ScaleOutRequest } from './scaling-plan';
 
 const INTERVAL_MS = 700;
-/** How long an option that the cloud had no capacity for is not tried again. */
+/** How long an option is not requested after the cloud had no capacity for it. */
 const NO_CAPACITY_BACKOFF_MS = 12_000;
 const MAX_ATTEMPTS = 6;
 const RETRY_MS = 1_500;
 
-/** Plans scaling; drains idle machines and rents new ones. */
+/** Plans scaling, starts draining idle machines and rents new ones. */
 export class ScaleOut {
-  /** Until when an option is not tried, by its key. */
+  /** When the back-off of an option ends, by the key of the option. */
   readonly #backedOffUntil = new Map<string, number>();
 
   constructor(
@@ -51,7 +51,7 @@
     this.#backedOffUntil.set(optionKey(option), this.context.clock.now() + NO_CAPACITY_BACKOFF_MS);
   }
 
-  /** Rents in calls as large as the cloud takes, until it has no more. */
+  /** Rents in calls of the largest size that the cloud accepts; backs off when a call yields fewer machines. */
   async #rent(request: ScaleOutRequest, signal: AbortSignal): Promise<void> {
     let left = request.count;
     while (left > 0 && !signal.aborted && this.owner.entitled) {
@@ -65,9 +65,9 @@
     }
   }
 
-  /** One call with its retries; returns how many machines it got. */
+  /** Rents in one call with its retries; returns the number of machines. */
   async #createMachines(option: InstanceOption, count: number, signal: AbortSignal): Promise<number> {
-    // The key is random and used once, so that a retry can't rent twice.
+    // Each call has a random key of its own, which its retries repeat, so that a retry can't rent twice.
     const request: CreateMachinesRequest = {
       idempotencyKey: this.context.random.uniqueName(),
       type: option.type.name,
@@ -87,7 +87,7 @@
         await this.context.clock.sleep(RETRY_MS, signal);
       }
     }
-    // Given up. If the request is carried out after all, its machines appear in the cloud's list and are adopted.
+    // If the cloud carries out an abandoned request after all, its machines appear in the list and are adopted.
     return 0;
   }
 }
--- a/src/coordination/autoscaling/scaling-input.ts
+++ b/src/coordination/autoscaling/scaling-input.ts
@@ -1,4 +1,4 @@
-/** @file The snapshot of a shard's waiting work and fleet on which scaling decides. */
+/** @file The snapshot of a shard's pending tasks and fleet from which scaling is planned. */
 import { PRIORITY_RANK } from '../../protocol/model';
 import type { ControllerContext } from '../controller-context';
 import { jobOccupyingResources, remainingRunS } from '../scheduling/machine-snapshot';
@@ -7,23 +7,23 @@
 import type { Shard } from '../shard/shard';
 import type { FleetMachine, InstanceOption, ScalingInput, UnplacedWork } from './scaling-plan';
 
-/** Work that is to start within so many boot times is not left to wait for room that comes free. */
-const START_SOON_BOOTS = 3;
+/** Tasks that have to start within this many boot times do not wait for running tasks to free resources. */
+const URGENT_SLACK_BOOT_TIMES = 3;
 
-/** What the snapshot is taken of. */
+/** The sources of the snapshot. */
 export interface ScalingSource {
   readonly shard: Shard;
   readonly context: ControllerContext;
-  /** The number of tasks that the last round found no room for, by job. */
+  /** The number of tasks that the last round could not place, by job. */
   readonly unplaced: ReadonlyMap<string, number>;
   readonly isBackedOff: (option: InstanceOption) => boolean;
 }
 
-/** Takes the snapshot. */
+/** Takes the snapshot of the shard. */
 export function buildScalingInput(source: ScalingSource): ScalingInput {
   const { shard, context } = source;
   const { warm_share, idle_release_s } = context.settings.operator;
-  const fleet = observeFleet(source);
+  const fleet = summarizeFleet(source);
   return {
     unplaced: describeUnplaced(source),
     machines: fleet.machines,
@@ -37,17 +37,17 @@
   };
 }
 
-/** The machines that stay, and sums over those of them that are up. */
+/** The machines that are not being drained, and totals over those that are up. */
 interface Fleet {
   readonly machines: FleetMachine[];
   totalCpus: number;
   freeCpus: number;
-  /** CPUs that running work will free before a new machine could be up. */
+  /** CPUs that running tasks will free before a new machine could be up. */
   freeingCpus: number;
 }
 
-/** One pass over all machines and what is on them. */
-function observeFleet({ shard, context }: ScalingSource): Fleet {
+/** Describes the fleet in one pass over all machines and their attempts. */
+function summarizeFleet({ shard, context }: ScalingSource): Fleet {
   const now = context.clock.now();
   const { rent_patience } = context.settings.operator;
   const fleet: Fleet = { machines: [], totalCpus: 0, freeCpus: 0, freeingCpus: 0 };
@@ -99,9 +99,9 @@
   return work;
 }
 
-/** Room that comes free by itself comes too late for what is to start about as soon as a machine can be had. */
+/** Whether a job of high priority, or due to start soon, can't wait until running tasks free resources for it. */
 function isUrgent(shard: Shard, table: DispatchTable, maxBootMs: number): boolean {
   if (PRIORITY_RANK[table.job.priority] <= PRIORITY_RANK.high) return true;
   const startSlackMs = shard.startSlackMs(table);
-  return startSlackMs !== undefined && startSlackMs < maxBootMs * START_SOON_BOOTS;
+  return startSlackMs !== undefined && startSlackMs < maxBootMs * URGENT_SLACK_BOOT_TIMES;
 }
--- a/src/coordination/autoscaling/scaling-plan.ts
+++ b/src/coordination/autoscaling/scaling-plan.ts
@@ -1,4 +1,4 @@
-/** @file Plans which machines to rent for waiting work and which idle ones to return. */
+/** @file Plans which machines to rent for pending tasks and which idle ones to release. */
 import { subtractResources, type Job, type MachineType, type Resources } from '../../protocol/model';
 import {
   fitsInto,
@@ -8,76 +8,76 @@
   type MachineKind,
 } from '../scheduling/constraints';
 
-/** A machine of the fleet, as far as renting and returning need to know it. */
+/** A machine of the fleet, with the properties that scaling uses. */
 export interface FleetMachine extends MachineKind {
   readonly id: string;
   readonly isBooting: boolean;
-  /** Time since the rental, as far as known. */
+  /** Time since the rental; for a machine adopted from the cloud's list, since the adoption. */
   readonly ageMs: number;
-  /** How long it has been empty; 0 while anything is on it. */
+  /** How long the machine has had no tasks; 0 while it has any. */
   readonly idleMs: number;
 }
 
-/** A kind of machine that can be rented in a zone. */
+/** A machine type in a zone, as a spot or an ordinary machine, that can be rented. */
 export type InstanceOption = MachineKind;
 
-/** A number of machines of one kind to rent. */
+/** A number of machines to rent, all of one option. */
 export interface ScaleOutRequest extends InstanceOption {
   count: number;
 }
 
-/** Tasks of one job that found no room. */
+/** Tasks of one job that could not be placed. */
 export interface UnplacedWork {
   readonly job: Job;
   readonly count: number;
-  /** It is not to wait for room that comes free by itself. */
+  /** Whether to rent for them rather than wait until running tasks free resources. */
   readonly isUrgent: boolean;
-  /** How long its tasks can still wait and be in time. */
+  /** How long the tasks can still wait and end in time. */
   readonly slackMs: number;
-  /** How many of the job's tasks are, or may be, in each zone. */
+  /** How many of the job's tasks run, or may run, in each zone. */
   readonly tasksPerZone?: ReadonlyMap<string, number>;
 }
 
-/** A snapshot of the waiting work and of the fleet. */
+/** A snapshot of the pending tasks and of the fleet. */
 export interface ScalingInput {
-  /** Tasks that found no room, in order. */
+  /** Tasks that could not be placed, in queue order. */
   readonly unplaced: readonly UnplacedWork[];
   readonly machines: readonly FleetMachine[];
   readonly types: readonly MachineType[];
-  /** Whether the cloud had no capacity for this option a short while ago. */
+  /** Whether the cloud recently had no capacity for the option. */
   readonly isBackedOff: (option: InstanceOption) => boolean;
-  /** CPUs that running work will free before a new machine could be up. */
+  /** CPUs that running tasks will free before a new machine could be up. */
   readonly freeingCpus: number;
-  /** How long a machine must have been idle to be returned. */
+  /** How long a machine must have been idle to be released. */
   readonly idleReleaseMs: number;
-  /** Whether all that waits may be placed: before, idle machines are kept for it. */
+  /** Whether all machines are confirmed; until then idle machines are kept, as some tasks may not be placed yet. */
   readonly areAllMachinesConfirmed: boolean;
-  /** Idle CPUs to keep for work that should start at once. */
+  /** Idle CPUs to keep for tasks that should start at once. */
   readonly warmCpus: number;
-  /** CPUs that are free on machines where tasks may start. */
+  /** Free CPUs on schedulable machines. */
   readonly freeCpus: number;
 }
 
-/** What to rent, and the ids of the machines to return. */
+/** The machines to rent, and the ids of the machines to release. */
 export interface ScalingPlan {
   scaleOut: ScaleOutRequest[];
   scaleIn: string[];
 }
 
-/** A machine costs at least this long, so an earlier return saves nothing. */
-const MIN_CHARGE_MS = 60_000;
-/** Work that may run on spot machines waits for one while its slack is longer than this many boot times. */
-const MAX_SPOT_WAIT_BOOTS = 1.5;
-/** How much dearer a zone counts for each machine that is there already, as a share of the price. */
+/** The cloud bills a machine for at least this long, so an earlier release saves nothing. */
+const MIN_BILLED_MS = 60_000;
+/** Tasks that may run on spot machines wait for one while their slack is longer than this many boot times. */
+const SPOT_ONLY_SLACK_BOOT_TIMES = 1.5;
+/** Added to the cost of an option for each machine already in its zone, as a fraction of the price. */
 const PENALTY_PER_ZONE_MACHINE = 0.001;
 
-/** A string that is the same for equal options. */
+/** A key for maps, the same for equal options. */
 export function optionKey(option: InstanceOption): string {
   return `${option.type.name}|${option.zone}|${option.spot ? 'spot' : 'ordinary'}`;
 }
 
-/** How many tasks of the job an empty machine of the type has room for. */
-function capacity(type: MachineType, job: Job): number {
+/** How many tasks of the job fit on an empty machine of the type. */
+function tasksPerMachine(type: MachineType, job: Job): number {
   return Math.floor(
     Math.min(
       type.cpus / job.cpus,
@@ -87,24 +87,24 @@
   );
 }
 
-/** Chooses machines to rent for the backlog that the present ones won't absorb, and idle ones to return. */
+/** Plans machines to rent for tasks that the present fleet won't run soon, and idle machines to release. */
 export function planScaling(input: ScalingInput): ScalingPlan {
   const planner = new ScaleOutPlanner(input);
   for (const work of input.unplaced) planner.place(work);
   return { scaleOut: planner.requests(), scaleIn: input.areAllMachinesConfirmed ? chooseScaleIn(input) : [] };
 }
 
-/** A machine that boots or is to be rented, with the room that is left there. */
+/** A machine that is booting or to be rented, with the resources that are still free on it. */
 interface Bin {
   readonly option: InstanceOption;
-  readonly room: Resources;
+  readonly free: Resources;
   readonly isNew: boolean;
 }
 
 /** Numbers of machines, or of a job's tasks, by zone. */
 type ZoneCounts = Map<string, number>;
 
-/** Fills waiting work into machines that are booting, and into new ones where it needs them. */
+/** Packs pending tasks onto booting machines, and onto new ones when those are full. */
 class ScaleOutPlanner {
   readonly #options: readonly InstanceOption[];
   readonly #bins: Bin[];
@@ -118,23 +118,23 @@
     for (const machine of input.machines) increment(this.#machinesPerZone, machine.zone);
     this.#bins = input.machines
       .filter((machine) => machine.isBooting)
-      .map((machine) => ({ option: machine, room: emptyRoom(machine.type), isNew: false }));
+      .map((machine) => ({ option: machine, free: totalResources(machine.type), isNew: false }));
     this.#freeingCpus = input.freeingCpus;
   }
 
-  /** Finds a place for each task of the work, as far as the cloud's options allow. */
+  /** Assigns each of the tasks to a machine, as far as the options allow. */
   place(work: UnplacedWork): void {
     const { job } = work;
-    // A machine in a zone that the job's other tasks exclude is of no use to it, however many are rented there.
+    // Starts with the placed tasks: a machine in a zone that they rule out for the others would stay unused.
     const zones: ZoneCounts = new Map(work.tasksPerZone);
-    let left = work.count - this.#absorb(work, zones);
-    // Rooms only shrink and zones only fill: a bin without room for one task of a job has none for the job's next.
+    let left = work.count - this.#reserveFreeingCpus(work, zones);
+    // Free resources only shrink and task counts only grow: a bin that one task doesn't fit fits none after it.
     let index = 0;
     while (left > 0) {
       index = this.#nextBin(job, zones, index);
       const bin = this.#bins[index] ?? this.#addMachine(work, left, zones);
       if (!bin) break;
-      subtractResources(bin.room, job);
+      subtractResources(bin.free, job);
       increment(zones, bin.option.zone);
       left -= 1;
     }
@@ -154,42 +154,42 @@
     return [...requests.values()];
   }
 
-  /** How many of the tasks will run in room that comes free before a new machine could be up. */
-  #absorb({ job, count, isUrgent }: UnplacedWork, zones: ZoneCounts): number {
-    if (isUrgent || !this.#mayUseAny(job, zones)) return 0;
+  /** Reserves CPUs that running tasks will free before a new machine could be up; returns how many tasks get them. */
+  #reserveFreeingCpus({ job, count, isUrgent }: UnplacedWork, zones: ZoneCounts): number {
+    if (isUrgent || !this.#canUseRunningMachine(job, zones)) return 0;
     const absorbed = Math.min(count, Math.floor(this.#freeingCpus / job.cpus));
     this.#freeingCpus -= absorbed * job.cpus;
     return absorbed;
   }
 
   /**
-   * Room that comes free is counted over all zones and types. Work that may use none of those machines must not count on
-   * it: it would wait for as long as any short work runs elsewhere.
+   * Whether the constraints of the job allow a running machine. The CPUs that running tasks free are summed over all
+   * zones and types; a job that may use none of them would wait for them as long as short tasks run elsewhere.
    */
-  #mayUseAny(job: Job, zones: ZoneCounts): boolean {
+  #canUseRunningMachine(job: Job, zones: ZoneCounts): boolean {
     return this.input.machines.some(
       (machine) =>
         !machine.isBooting && isEligible(job, machine) && zoneConstraintsAllow(job, zones, machine.zone),
     );
   }
 
-  /** The index of the first bin from `start` on with room for a task of the job; the number of bins if none has. */
+  /** The index of the first bin from `start` on that a task of the job fits; the number of bins if there is none. */
   #nextBin(job: Job, zones: ZoneCounts, start: number): number {
     let index = start;
     for (; index < this.#bins.length; index += 1) {
       const bin = this.#bins[index];
       if (!bin || !isEligible(job, bin.option)) continue;
-      if (zoneConstraintsAllow(job, zones, bin.option.zone) && fitsInto(job, bin.room)) break;
+      if (zoneConstraintsAllow(job, zones, bin.option.zone) && fitsInto(job, bin.free)) break;
     }
     return index;
   }
 
   #addMachine({ job, slackMs }: UnplacedWork, tasks: number, zones: ZoneCounts): Bin | undefined {
     const work = { job, tasks, slackMs, zones };
-    const option = cheapest(work, this.#options, this.input.isBackedOff, this.#machinesPerZone);
+    const option = cheapestOption(work, this.#options, this.input.isBackedOff, this.#machinesPerZone);
     if (!option) return undefined;
     increment(this.#machinesPerZone, option.zone);
-    const bin = { option, room: emptyRoom(option.type), isNew: true };
+    const bin = { option, free: totalResources(option.type), isNew: true };
     this.#bins.push(bin);
     return bin;
   }
@@ -199,12 +199,12 @@
   counts.set(zone, (counts.get(zone) ?? 0) + 1);
 }
 
-function emptyRoom({ cpus, gpus, memoryGb }: MachineType): Resources {
+function totalResources({ cpus, gpus, memoryGb }: MachineType): Resources {
   return { cpus, gpus, memoryGb };
 }
 
-/** The cheapest option for tasks of the work; undefined when none fits, or all are backed off. */
-function cheapest(
+/** The option with the lowest cost per task; undefined if no option is possible at present. */
+function cheapestOption(
   work: { job: Job; tasks: number; slackMs: number; zones: ReadonlyMap<string, number> },
   options: readonly InstanceOption[],
   isBackedOff: (option: InstanceOption) => boolean,
@@ -214,7 +214,7 @@
   let best: InstanceOption | undefined;
   let bestCost = Infinity;
   for (const option of options) {
-    const fittingTasks = capacity(option.type, job);
+    const fittingTasks = tasksPerMachine(option.type, job);
     if (
       fittingTasks < 1 ||
       !isEligible(job, option) ||
@@ -222,9 +222,9 @@
       isBackedOff(option)
     )
       continue;
-    // Ordinary machines cost a multiple: work that can wait for spot ones to come free does.
-    if (!option.spot && job.spot && slackMs > option.type.bootS * 1000 * MAX_SPOT_WAIT_BOOTS) continue;
-    // Spread over the zones where the price is the same, so that a failing zone takes less with it.
+    // Ordinary machines cost a multiple of spot machines, so tasks with enough slack wait for spot capacity.
+    if (!option.spot && job.spot && slackMs > option.type.bootS * 1000 * SPOT_ONLY_SLACK_BOOT_TIMES) continue;
+    // Spreads machines over zones of equal price, so that a zone failure affects fewer of them.
     const cost =
       (priceOf(option) / Math.min(fittingTasks, tasks)) *
       (1 + PENALTY_PER_ZONE_MACHINE * (machinesPerZone.get(option.zone) ?? 0));
@@ -236,7 +236,6 @@
   return best;
 }
 
-/** The price of a machine of this kind. */
 function priceOf({ type, spot }: InstanceOption): number {
   return spot ? type.spotPrice : type.price;
 }
@@ -245,11 +244,11 @@
   return priceOf(machine) / machine.type.cpus;
 }
 
-/** The machines that were idle for long enough, dearest first, as far as enough room stays free. */
+/** Machines that were idle for long enough, the most expensive per CPU first, as long as `warmCpus` stay free. */
 function chooseScaleIn(input: ScalingInput): string[] {
   const idle = input.machines.filter(
     (machine) =>
-      !machine.isBooting && machine.idleMs >= input.idleReleaseMs && machine.ageMs >= MIN_CHARGE_MS,
+      !machine.isBooting && machine.idleMs >= input.idleReleaseMs && machine.ageMs >= MIN_BILLED_MS,
   );
   idle.sort((a, b) => pricePerCpu(b) - pricePerCpu(a) || b.idleMs - a.idleMs);
   const chosen: string[] = [];
--- a/src/coordination/controller-components.ts
+++ b/src/coordination/controller-components.ts
@@ -19,7 +19,7 @@
 import { PeerMessaging } from './peer-messaging';
 import { Readiness } from './readiness';
 
-/** The components of a controller that own shards, lead, and keep in touch with its peers. */
+/** The components of a controller for shard ownership, leadership and communication with its peers. */
 interface CoordinationComponents {
   readonly progress: JobProgressTable;
   readonly reachability: PeerReachability;
@@ -28,9 +28,9 @@
   readonly leader: Leader;
   readonly acquisition: ShardAcquisition;
   readonly leaseRelay: LeaseRelay;
-  /** Wakes the leader's loop ahead of its time. */
+  /** Wakes the leader's loop before its interval ends. */
   readonly leaderWake: WakeSignal;
-  /** Wakes the loop that acquires shards ahead of its time. */
+  /** Wakes the shard acquisition loop before its interval ends. */
   readonly acquisitionWake: WakeSignal;
 }
 
@@ -42,7 +42,7 @@
   readonly peerMessaging: PeerMessaging;
 }
 
-/** Creates the components; `store` stands in for the client of the key-value store where one is given. */
+/** Creates the components; `store`, if given, replaces the HTTP client of the key-value store. */
 export function createControllerComponents(
   settings: Settings,
   environment: Environment,
--- a/src/coordination/controller-context.ts
+++ b/src/coordination/controller-context.ts
@@ -24,7 +24,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Log;
-  /** Tells what work to shed when the process lags behind. */
+  /** Decides which work to shed while the event loop is delayed. */
   readonly eventLoopDelay: EventLoopDelay;
   readonly store: KeyValueStore;
   readonly cache: WatchCache;
@@ -34,13 +34,13 @@
   readonly endedJobs: EndedJobs;
   readonly dependencies: DependencyTracker;
   readonly chainUrgency: ChainUrgency;
-  /** Undefined where suspicion is off. */
+  /** Undefined if suspicion is off. */
   readonly suspicion: Suspicion | undefined;
   readonly cloud: Cloud;
   /** For calls to workers. */
   readonly workers: HttpCaller;
   /** The machine types that the cloud offers. */
   types(): readonly MachineType[];
-  /** Applies a change that was just acknowledged to this controller's cache, and notifies the peers of it. */
+  /** Applies an acknowledged change to this controller's cache, and notifies the peers of it. */
   publish(event: ChangeEvent): void;
 }
--- a/src/coordination/controller-loops.ts
+++ b/src/coordination/controller-loops.ts
@@ -6,7 +6,7 @@
 const LEADER_INTERVAL_MS = 1_000;
 const ACQUISITION_INTERVAL_MS = 500;
 const LEASE_RELAY_INTERVAL_MS = 250;
-/** Pauses after a failed step. Records are read again soon, the cloud is asked less often. */
+/** Pauses after a failed step: the key-value store is retried soon, the cloud less often. */
 const RECORDS_RETRY_MS = 300;
 const MACHINE_TYPES_RETRY_MS = 2_000;
 const CLOUD_LIST_RETRY_MS = 3_000;
@@ -14,7 +14,7 @@
 /** Starts a loop; the last argument is the pause after a failed step. */
 type StartLoop = (name: string, step: () => Promise<void>, pauseAfterErrorMs?: number) => void;
 
-/** Starts the loops, which run until the signal. */
+/** Starts the loops, which run until the signal aborts. */
 export function startControllerLoops(components: ControllerComponents, signal: AbortSignal): void {
   const { clock, log } = components.context;
   const start: StartLoop = (name, step, pauseAfterErrorMs) => {
@@ -54,11 +54,11 @@
 }
 
 function startCloudLoops(components: ControllerComponents, signal: AbortSignal, start: StartLoop): void {
-  start('machine types', () => refreshTypes(components, signal), MACHINE_TYPES_RETRY_MS);
-  start('cloud list', () => listCloud(components, signal), CLOUD_LIST_RETRY_MS);
+  start('machine types', () => refreshMachineTypes(components, signal), MACHINE_TYPES_RETRY_MS);
+  start('cloud list', () => refreshCloudInventory(components, signal), CLOUD_LIST_RETRY_MS);
 }
 
-async function refreshTypes(components: ControllerComponents, signal: AbortSignal): Promise<void> {
+async function refreshMachineTypes(components: ControllerComponents, signal: AbortSignal): Promise<void> {
   const { machineTypes, leader, acquisitionWake } = components;
   const onRefreshed = (): void => {
     acquisitionWake.wake();
@@ -66,7 +66,7 @@
   await machineTypes.refresh(leader.isLeader, onRefreshed, signal);
 }
 
-async function listCloud(components: ControllerComponents, signal: AbortSignal): Promise<void> {
+async function refreshCloudInventory(components: ControllerComponents, signal: AbortSignal): Promise<void> {
   const { cloudInventory, leader, acquisition } = components;
   await cloudInventory.step(signal, () => leader.isLeader || acquisition.owners.size > 0);
   for (const { id, state } of cloudInventory.machines()) {
--- a/src/coordination/controller-services.ts
+++ b/src/coordination/controller-services.ts
@@ -31,21 +31,21 @@
 
 const STORE_TIMEOUT_MS = 1_500;
 const CLOUD_TIMEOUT_MS = 5_000;
-/** This controller's part of the limits that all share: one may take more than its equal share, for others take less. */
-const STORE_RATE_PART = 0.6;
-/** Part of the limit on requests for look-ups of whether a deferred job was accepted; each takes up to two requests. */
-const LOOK_UP_RATE_PART = 0.05;
-const CLOUD_RATE_PART = 0.7;
+/** Fraction of a shared rate limit that one controller may use: more than an equal share, because others use less. */
+const STORE_RATE_FRACTION = 0.6;
+/** Fraction of the request limit for look-ups of whether a deferred job was accepted; each takes up to two requests. */
+const LOOK_UP_RATE_FRACTION = 0.05;
+const CLOUD_RATE_FRACTION = 0.7;
 const CLOUD_BURST = 2;
-/** How many watches without a change fit into a shard lease, one after the other. */
+/** Number of consecutive watches without a change that fit into one shard lease. */
 const WATCHES_PER_LEASE = 5;
 
-/** The services of one controller: its context, and what only the controller itself uses. */
+/** The services of one controller: the context that its components share, and services for the controller only. */
 export interface ControllerServices {
   readonly context: ControllerContext;
   readonly machineTypes: MachineTypes;
   readonly dependentCancellation: DependentCancellation;
-  /** Undefined where admission is off. */
+  /** Undefined if admission control is off. */
   readonly admission: AdmissionOptions | undefined;
 }
 
@@ -55,14 +55,14 @@
   return new HttpKeyValueStore({
     http,
     address: external.state,
-    requests: new RateLimit(clock, rps * STORE_RATE_PART, rps * STORE_RATE_PART),
-    writes: new RateLimit(clock, write_rps * STORE_RATE_PART, write_rps * STORE_RATE_PART),
+    requests: new RateLimit(clock, rps * STORE_RATE_FRACTION, rps * STORE_RATE_FRACTION),
+    writes: new RateLimit(clock, write_rps * STORE_RATE_FRACTION, write_rps * STORE_RATE_FRACTION),
     timeoutMs: STORE_TIMEOUT_MS,
   });
 }
 
 function createCloud({ platform, throttling }: Settings, { clock, http }: Environment): Cloud {
-  const rate = (platform.deployment.cloud.rps * CLOUD_RATE_PART) / Math.sqrt(throttling.shards);
+  const rate = (platform.deployment.cloud.rps * CLOUD_RATE_FRACTION) / Math.sqrt(throttling.shards);
   return new Cloud(http, platform.external.cloud, new RateLimit(clock, rate, CLOUD_BURST), CLOUD_TIMEOUT_MS);
 }
 
@@ -113,7 +113,7 @@
   });
 }
 
-/** Undefined where suspicion is off. */
+/** Undefined if suspicion is off. */
 function createSuspicion(
   settings: Settings,
   { clock, log }: Environment,
@@ -136,12 +136,12 @@
 ): { endedJobs: EndedJobs; dependencies: DependencyTracker } {
   const graph = new JobGraph();
   const neverStarted = (id: string): boolean => graph.isCancellationPending(id);
-  // Made before the tracker: its listener is to be called before the tracker's, which removes the job from the graph.
+  // Created before the tracker, so that its listener can still find the job in the graph: the tracker's removes it.
   const endedJobs = new EndedJobs(cache, clock, platform.deployment.workers.cancel_s, neverStarted);
   return { endedJobs, dependencies: new DependencyTracker(cache, finals, clock, graph) };
 }
 
-/** What the records of jobs are kept in, and what accepting a job needs. */
+/** The services that the job store and admission control use. */
 interface JobServices extends Omit<JobStoreContext, 'limits' | 'admission'> {
   readonly log: Log;
 }
@@ -152,7 +152,11 @@
   { log, ...services }: JobServices,
 ): JobStore {
   const { state } = platform.deployment;
-  const lookUps = new RateLimit(services.clock, state.rps * LOOK_UP_RATE_PART, state.rps * LOOK_UP_RATE_PART);
+  const lookUps = new RateLimit(
+    services.clock,
+    state.rps * LOOK_UP_RATE_FRACTION,
+    state.rps * LOOK_UP_RATE_FRACTION,
+  );
   return new JobStore({
     ...services,
     limits: { valueBytes: valueBytes(state), changes: changesAtOnce(state) },
@@ -160,7 +164,7 @@
   });
 }
 
-/** The copy of the records, and what writes to them. */
+/** The watch cache, and the services that write records. */
 interface RecordServices {
   readonly store: KeyValueStore;
   readonly cache: WatchCache;
@@ -187,7 +191,7 @@
   };
 }
 
-/** Creates the services; `store` stands in for the client of the key-value store where one is given. */
+/** Creates the services; `store`, if given, replaces the HTTP client of the key-value store. */
 export function createControllerServices(
   settings: Settings,
   environment: Environment,
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -1,4 +1,4 @@
-/** @file One controller: starts and stops its components, and answers users, workers and peers through them. */
+/** @file One controller: starts and stops its components, and passes requests and peer messages to them. */
 import type { EventLoopDelay } from '../base/event-loop-delay';
 import { describeError } from '../base/loop';
 import type { Settings } from '../base/settings';
@@ -13,10 +13,10 @@
 import { onRecordChange } from './record-changes';
 import type { ShardOwner } from './shard/shard-owner';
 
-/** How long the response to a cancellation may wait for the records of jobs that depend on the cancelled one. */
-const CANCEL_DEPENDENTS_MS = 1_000;
+/** The response to a cancellation waits at most this long until the dependents are recorded as cancelled. */
+const MAX_CANCEL_DEPENDENTS_MS = 1_000;
 
-/** One controller: its copy of the records, its session, and the shards that it owns. */
+/** One controller: its watch cache, its session, and the shards that it owns. */
 export class Controller {
   readonly jobs: JobStore;
   readonly #components: ControllerComponents;
@@ -25,7 +25,7 @@
   constructor(
     readonly settings: Settings,
     environment: Environment,
-    /** Stands in for the client of the key-value store where one is given. */
+    /** Replaces the HTTP client of the key-value store, if given. */
     store?: KeyValueStore,
   ) {
     const components = createControllerComponents(settings, environment, store);
@@ -41,73 +41,73 @@
     });
   }
 
-  /** Starts its loops. */
+  /** Starts the loops of the components. */
   start(): void {
     startControllerLoops(this.#components, this.#stop.signal);
   }
 
-  /** Ends its loops, and stops the owners of its shards. */
+  /** Stops the loops and the shard owners. */
   stop(): void {
     this.#stop.abort();
     for (const owner of this.owners.values()) owner.stop('controller stops');
   }
 
-  /** The machine types known so far. */
+  /** The latest known machine types; empty before they are first read. */
   get types(): readonly MachineType[] {
     return this.#components.machineTypes.all;
   }
 
-  /** The owned shards by their numbers. */
+  /** The owners of the shards of this controller, by shard number. */
   get owners(): ReadonlyMap<number, ShardOwner> {
     return this.#components.acquisition.owners;
   }
 
-  /** Whether it knows enough to decide any request. */
+  /** Whether the records and the machine types are loaded; before that no request can be decided. */
   get isInitialized(): boolean {
     return this.#components.readiness.isInitialized;
   }
 
-  /** Whether users are well served here. */
+  /** Whether the load balancer should send users to this controller. */
   get isReady(): boolean {
     return this.#components.readiness.isReady;
   }
 
-  /** How this process keeps up with its work. */
+  /** The event-loop delay of this process, which decides what work to shed. */
   get eventLoopDelay(): EventLoopDelay {
     return this.#components.context.eventLoopDelay;
   }
 
-  /** Adds what is known of a live job's progress, for display. */
+  /** Adds the latest reported progress of a live job, for display. */
   withProgress(status: JobStatus): JobStatus {
     return this.#components.progress.withProgress(status);
   }
 
   /**
-   * Cancels a job unless it is done, and its dependents as far as that can be written at once; the leader does the rest.
+   * Cancels a job unless it is done, and its dependents as far as time allows; the leader cancels the others.
    */
   async cancel(id: string): Promise<JobStatus | undefined> {
     const { context, progress, dependentCancellation } = this.#components;
     const { clock, log, dependencies } = context;
     const status = await this.jobs.cancel(id, progress.get(id)?.done ?? 0);
     if (status?.state !== 'cancelled' || dependencies.graph.pendingCancellations.size === 0) return status;
-    const until = clock.now() + CANCEL_DEPENDENTS_MS;
+    const until = clock.now() + MAX_CANCEL_DEPENDENTS_MS;
     await dependentCancellation.cancelPending(until).catch((error: unknown) => {
-      log.info({ job: id, err: describeError(error) }, 'dependents are still to be cancelled');
+      log.info({ job: id, err: describeError(error) }, 'cancellation of dependents failed');
     });
     return status;
   }
 
-  /** Answers a worker's heartbeat, without a promise where that is possible. */
+  /** Responds to a worker's heartbeat; with a promise only if the machine has to be recorded as up first. */
   onHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatResponse | Promise<HeartbeatResponse> {
     return this.#components.heartbeatRouter.respond(heartbeat);
   }
 
-  /** Takes in the content of a frame from a peer. */
+  /** Handles the content of a frame from a peer. */
   onPeerFrame(bytes: Uint8Array): void {
     this.#components.peerMessaging.onFrame(bytes);
   }
 
-  /** What this controller and its peers hold of each other; undefined where suspicion is off. */
+  /** The status that this controller and its peers report of each other; undefined if suspicion is off. */
   peersReport(): PeersReport | undefined {
     return this.#components.context.suspicion?.report();
   }
--- a/src/coordination/environment.ts
+++ b/src/coordination/environment.ts
@@ -1,13 +1,13 @@
-/** @file What a controller is given from outside: clock, randomness, log and connections. */
+/** @file The environment of a controller. */
 import type { Clock } from '../base/clock';
 import type { Log } from '../base/log';
 import type { Random } from '../base/random';
 import type { HttpCaller } from '../transport/http-client';
 
-/** Clock, randomness, log and connections that a controller is given. */
+/** Clock, randomness, log and connections that are injected into a controller. */
 export interface Environment {
   clock: Clock;
-  /** Steady time at which this process began, in milliseconds. */
+  /** Steady time at which this process started, in milliseconds. */
   startedAt: number;
   random: Random;
   log: Log;
--- a/src/coordination/feasibility.ts
+++ b/src/coordination/feasibility.ts
@@ -1,15 +1,15 @@
 /** @file Whether a job can ever run, given the machine types of the cloud and the limits of its team. */
 import type { Job, MachineType } from '../protocol/model';
 
-/** The limits of a team, as the settings have them; 0: no limit. */
+/** The limits of a team in the settings; 0 means no limit. */
 interface TeamLimits {
   readonly name: string;
   readonly cpus_max: number;
   readonly gpus_max: number;
 }
 
-/** Whether a task of the job fits a machine of this type, in some zone that the job allows. */
-function typeAllows(job: Job, type: MachineType): boolean {
+/** Whether the job allows the type in some zone, and a task of it fits an empty machine of the type. */
+function fitsMachineType(job: Job, type: MachineType): boolean {
   return (
     job.cpus <= type.cpus &&
     job.gpus <= type.gpus &&
@@ -27,7 +27,7 @@
 ): string | undefined {
   const team = teams.find(({ name }) => name === job.team);
   if (!team) return 'unknown team';
-  if (!types.some((type) => typeAllows(job, type))) return 'a task fits no allowed machine type';
+  if (!types.some((type) => fitsMachineType(job, type))) return 'a task fits no allowed machine type';
   if (team.cpus_max > 0 && job.cpus > team.cpus_max) return "a task needs more CPUs than the team's limit";
   if (team.gpus_max > 0 && job.gpus > team.gpus_max) return "a task needs more GPUs than the team's limit";
   return undefined;
--- a/src/coordination/heartbeat-router.ts
+++ b/src/coordination/heartbeat-router.ts
@@ -1,4 +1,4 @@
-/** @file Decides who answers a worker's heartbeat: an owner of this controller, a relay, or another controller. */
+/** @file Routes a worker's heartbeat to a shard owner, to the lease relay, or to another controller. */
 import { KEY, read } from '../bookkeeping/records';
 import type { WorkerHeartbeat } from '../protocol/model';
 import type { PeerReachability } from '../suspicion/peer-reachability';
@@ -7,10 +7,10 @@
 import type { OwnerResponse } from './shard/owner-response';
 import type { ShardOwner } from './shard/shard-owner';
 
-/** What a controller answers a worker's heartbeat. `owner` is undefined where the worker should try any other. */
+/** The response to a worker's heartbeat. Without `owner`, a redirected worker should try any other controller. */
 export type HeartbeatResponse = OwnerResponse | { kind: 'redirect'; owner: string | undefined };
 
-/** What the router decides by. */
+/** The components that the router uses. */
 export interface HeartbeatRouterContext {
   readonly context: Pick<ControllerContext, 'cache' | 'controllerId'>;
   readonly acquisition: { readonly owners: ReadonlyMap<number, ShardOwner> };
@@ -22,7 +22,7 @@
 export class HeartbeatRouter {
   constructor(private readonly components: HeartbeatRouterContext) {}
 
-  /** Answers without a promise where that is possible, as most heartbeats are. */
+  /** Responds to a heartbeat; without a promise, unless the machine has to be recorded as up first. */
   respond(heartbeat: WorkerHeartbeat): HeartbeatResponse | Promise<HeartbeatResponse> {
     const { context, acquisition } = this.components;
     if (!context.cache.isLoaded) return { kind: 'undecided' };
@@ -37,14 +37,14 @@
     const { context, reachability, leaseRelay } = this.components;
     const { cache, controllerId } = context;
     const record = read.machine(cache.get(KEY.machine(heartbeat.machine))?.value);
-    // The leader records the machine when the cloud lists it; until then no controller may answer for it.
+    // The leader records the machine once the cloud lists it; until then no controller may accept its heartbeat.
     if (!record) return { kind: 'undecided' };
     const lease = read.lease(cache.get(KEY.lease(record.block))?.value);
     if (!lease || lease.owner === controllerId) return { kind: 'undecided' };
     reachability.recordRedirect(heartbeat.machine, record.block);
     const relayed = record.up ? leaseRelay.respond(heartbeat, record.block) : undefined;
     if (relayed) return { kind: 'accepted', ...relayed };
-    // Sent back to an owner that is cut off, a worker would spend its lease waiting for it.
+    // If redirected to an unreachable owner, a worker would wait for a response until its lease expires.
     const owner = reachability.reaches(lease.owner, record.block) ? lease.owner : undefined;
     return { kind: 'redirect', owner };
   }
--- a/src/coordination/job-progress.ts
+++ b/src/coordination/job-progress.ts
@@ -1,4 +1,4 @@
-/** @file The progress of live jobs, as the owners of their shards report it to each other; for display only. */
+/** @file The progress of live jobs, which controllers report to each other in heartbeats; for display only. */
 import { KEY } from '../bookkeeping/records';
 import type { WatchCache } from '../bookkeeping/watch-cache';
 import type { JobStatus } from '../protocol/model';
@@ -6,28 +6,28 @@
 
 /** The latest reported progress of each live job. */
 export class JobProgressTable {
-  readonly #jobs = new Map<string, JobProgress>();
+  readonly #progressByJob = new Map<string, JobProgress>();
 
   constructor(private readonly cache: WatchCache) {}
 
   /** The latest reported progress of a job. */
   get(job: string): JobProgress | undefined {
-    return this.#jobs.get(job);
+    return this.#progressByJob.get(job);
   }
 
-  /** Takes in what an owner reported; jobs without a live record are ignored. */
+  /** Stores progress that a shard owner reported; jobs without a live record are ignored. */
   update(jobs: readonly JobProgress[]): void {
-    for (const job of jobs) if (this.cache.get(KEY.job(job.id))) this.#jobs.set(job.id, job);
+    for (const job of jobs) if (this.cache.get(KEY.job(job.id))) this.#progressByJob.set(job.id, job);
   }
 
-  /** Forgets a job whose live record was deleted. */
+  /** Removes a job whose live record was deleted. */
   delete(job: string): void {
-    this.#jobs.delete(job);
+    this.#progressByJob.delete(job);
   }
 
-  /** Adds what is known of a live job's progress to its status. */
+  /** Adds the latest reported progress to the status of a live job. */
   withProgress(status: JobStatus): JobStatus {
-    const progress = this.#jobs.get(status.id);
+    const progress = this.#progressByJob.get(status.id);
     if (!progress || status.state === 'done' || status.state === 'cancelled') return status;
     const state = progress.running > 0 ? 'running' : 'queued';
     return { ...status, state, done: progress.done, running: progress.running };
--- a/src/coordination/machine-types.ts
+++ b/src/coordination/machine-types.ts
@@ -10,9 +10,9 @@
 import type { KeyValueStore } from '../protocol/key-value-store';
 
 const REFRESH_INTERVAL_MS = 60_000;
-const NOT_LOADED_PAUSE_MS = 20;
+const CACHE_LOAD_POLL_MS = 20;
 
-/** What the list of types is read from and written to. */
+/** The services that machine types are read from and written to. */
 export interface MachineTypesContext {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -23,15 +23,15 @@
 }
 
 /**
- * The machine types that the cloud offers. The leader asks the cloud and records the response, which also serves a
- * controller that starts while the cloud is down.
+ * The machine types that the cloud offers. The leader queries the cloud and records the response, so that a controller
+ * that starts while the cloud is down can read them, too.
  */
 export class MachineTypes {
   #types: readonly MachineType[] = [];
 
   constructor(private readonly context: MachineTypesContext) {}
 
-  /** The types known so far; empty at first. */
+  /** The latest known types; empty before they are first read. */
   get all(): readonly MachineType[] {
     return this.#types;
   }
@@ -41,11 +41,11 @@
     this.#types = readTypes(this.context.cache) ?? this.#types;
   }
 
-  /** One step, to be run in a loop; calls back when the cloud has listed the types. */
+  /** One step, to be run in a loop; calls `onRefreshed` when the types from the cloud are recorded. */
   async refresh(isLeader: boolean, onRefreshed: () => void, signal: AbortSignal): Promise<void> {
     const { cache, store, clock, cloud, formatGate, settings } = this.context;
     if (!cache.isLoaded) {
-      await clock.sleep(NOT_LOADED_PAUSE_MS, signal);
+      await clock.sleep(CACHE_LOAD_POLL_MS, signal);
       return;
     }
     if (this.#types.length === 0 || isLeader) {
--- a/src/coordination/peer-messaging.ts
+++ b/src/coordination/peer-messaging.ts
@@ -8,7 +8,7 @@
 import type { Readiness } from './readiness';
 import type { ShardOwner } from './shard/shard-owner';
 
-/** What heartbeats are made from, and where the peers' messages are delivered. */
+/** The components that provide the content of heartbeats and that messages from peers are delivered to. */
 export interface PeerMessagingContext {
   readonly context: Pick<ControllerContext, 'cache' | 'controllerId' | 'log' | 'suspicion'>;
   readonly acquisition: { readonly owners: ReadonlyMap<number, ShardOwner> };
@@ -18,21 +18,21 @@
   readonly readiness: Readiness;
 }
 
-/** Delivers the peers' messages, and sends them this controller's heartbeats. */
+/** Delivers messages from peers to the components, and sends heartbeats to the peers. */
 export class PeerMessaging {
   constructor(
     private readonly components: PeerMessagingContext,
     private readonly broadcast: (bytes: Uint8Array) => void,
   ) {}
 
-  /** Takes in the content of a frame from a peer. */
+  /** Delivers the message in a frame from a peer. */
   onFrame(bytes: Uint8Array): void {
     const message = readPeerMessage(bytes);
     if (message) this.#deliver(message);
     else this.components.context.log.info('unreadable peer message');
   }
 
-  /** Sends every peer this controller's heartbeat, in as many messages as the progress of its jobs needs. */
+  /** Broadcasts this controller's heartbeat, in as many messages as the progress of its jobs needs. */
   sendHeartbeat(): void {
     const { acquisition, progress } = this.components;
     const owners = [...acquisition.owners.values()];
--- a/src/coordination/readiness.ts
+++ b/src/coordination/readiness.ts
@@ -1,50 +1,51 @@
-/** @file Whether a controller knows enough to serve, and whether users are well served by it. */
+/** @file Whether a controller can decide requests, and whether the load balancer should send users to it. */
 import type { PeerReachability } from '../suspicion/peer-reachability';
 import type { ControllerContext } from './controller-context';
 import type { MachineTypes } from './machine-types';
 
-/** A view of the key-value store is fresh when a watch that was sent within this time was answered. */
-const VIEW_FRESH_FOR_MS = 4_000;
-/** How far apart controllers may notice the same outage: the ends of their watches, and their heartbeat interval. */
-const OUTAGE_NOTICE_SPREAD_MS = 2_500;
-/** Without a heartbeat of any peer for so long, this controller is likely cut off. */
-const PEERS_SILENT_AFTER_MS = 3_500;
+/** The view of the key-value store is fresh if a watch that was sent within this time got a response. */
+const MAX_VIEW_AGE_MS = 4_000;
+/** How far apart controllers may detect the same outage: their watches end at different times, heartbeats follow. */
+const OUTAGE_DETECTION_SPREAD_MS = 2_500;
+/** A controller that received no heartbeat from any peer for this long is probably partitioned. */
+const PEER_HEARTBEAT_TIMEOUT_MS = 3_500;
 
-/** What readiness depends on. */
+/** The components that readiness depends on. */
 export interface ReadinessContext {
   readonly context: Pick<ControllerContext, 'cache' | 'clock' | 'settings'>;
   readonly machineTypes: MachineTypes;
   readonly reachability: PeerReachability;
 }
 
-/** How well a controller can serve at present. */
+/** The readiness of a controller for requests. */
 export class Readiness {
   constructor(private readonly components: ReadinessContext) {}
 
-  /** Whether it has its copy of the records and the machine types, without which it can decide no request. */
+  /** Whether the records and the machine types are loaded; before that no request can be decided. */
   get isInitialized(): boolean {
     const { context, machineTypes } = this.components;
     return context.cache.isLoaded && machineTypes.all.length > 0;
   }
 
-  /** Whether its view of the key-value store is recent. */
+  /** Whether the view of the key-value store is recent. */
   get isViewFresh(): boolean {
     const { clock, cache } = this.components.context;
-    return clock.now() - cache.freshAt < VIEW_FRESH_FOR_MS;
+    return clock.now() - cache.freshAt < MAX_VIEW_AGE_MS;
   }
 
   /**
-   * Whether users are well served here. A controller that alone lost the key-value store sends them elsewhere; when all
-   * have lost it, going elsewhere would not help. One that gets no message of its peers either is likely cut off itself.
+   * Whether the load balancer should send users here. A controller that alone can't reach the key-value store is not
+   * ready; if no controller can, it stays ready, because others could not help either. A controller that receives no
+   * heartbeat from its peers either is probably partitioned, and is not ready.
    */
   get isReady(): boolean {
     if (!this.isInitialized) return false;
     const { context, reachability } = this.components;
     const { clock, cache, settings } = context;
     if (this.isViewFresh || settings.platform.others.length === 0) return true;
-    if (clock.now() - reachability.lastHeartbeatAt > PEERS_SILENT_AFTER_MS) return false;
-    // In an outage all lose it, though not all notice at the same moment: each removal by the load balancer makes the
-    // next return slower, so only peers that go on reaching it for longer count.
-    return reachability.lastFreshHeartbeatAt < cache.freshAt + VIEW_FRESH_FOR_MS + OUTAGE_NOTICE_SPREAD_MS;
+    if (clock.now() - reachability.lastHeartbeatAt > PEER_HEARTBEAT_TIMEOUT_MS) return false;
+    // Controllers detect the same outage at different moments, and each removal by the load balancer makes the next
+    // return slower. So only a peer whose view stays fresh beyond that difference makes this controller not ready.
+    return reachability.lastFreshHeartbeatAt < cache.freshAt + MAX_VIEW_AGE_MS + OUTAGE_DETECTION_SPREAD_MS;
   }
 }
--- a/src/coordination/record-changes.ts
+++ b/src/coordination/record-changes.ts
@@ -1,4 +1,4 @@
-/** @file Tells the components of a controller of changed records. */
+/** @file Notifies the components of a controller of changed records. */
 import { isCompletionKey } from '../bookkeeping/completion-records';
 import { KEY, PREFIX } from '../bookkeeping/records';
 import { isTypesKey } from '../bookkeeping/type-records';
@@ -12,7 +12,7 @@
   PREFIX.admissionFlow,
 ] as const;
 
-/** Whether changes of the record concern neither the leader nor the acquisition of shards. */
+/** Whether a change of the record needs no step of the leader or of shard acquisition. */
 function wakesNoLoop(key: string): boolean {
   return (
     isCompletionKey(key) ||
@@ -21,7 +21,7 @@
   );
 }
 
-/** Tells the components that a record has changed. */
+/** Notifies the components that a record has changed. */
 export function onRecordChange(components: ControllerComponents, event: ChangeEvent): void {
   const { acquisition, progress, machineTypes, leaderWake, acquisitionWake } = components;
   const { key, deleted } = event;
--- a/src/coordination/replies.ts
+++ b/src/coordination/replies.ts
@@ -1,4 +1,4 @@
-/** @file The replies to users and workers, and the one mapping of errors to replies. */
+/** @file The replies to users and workers, and the mapping of errors to replies. */
 import { describeError } from '../base/loop';
 import type { Log } from '../base/log';
 import { SubmissionDeferredError } from '../bookkeeping/admission-policy';
@@ -10,16 +10,16 @@
 import type { HeartbeatResponse } from './heartbeat-router';
 
 const RETRY_AFTER_S = 1;
-const NOT_NOW = { error: 'not now' } as const;
+const UNAVAILABLE_BODY = { error: 'not now' } as const;
 
-/** Refuses a request for good. */
+/** The reply that rejects a request; it asks for no retry. */
 export function refuse(status: number, error: string): HttpReply {
   return { status, body: { error } };
 }
 
-/** The reply to a user's request that can't be decided at present: it should be repeated. */
+/** The reply to a user's request that can't be decided at present; it asks the user to retry. */
 export function replyUnavailable(): HttpReply {
-  return { status: 503, body: NOT_NOW, retryAfterS: RETRY_AFTER_S };
+  return { status: 503, body: UNAVAILABLE_BODY, retryAfterS: RETRY_AFTER_S };
 }
 
 /** The reply with a job's status. */
@@ -27,7 +27,7 @@
   return { status: 200, body: writeStatus(status) };
 }
 
-/** The reply to a heartbeat. A worker repeats it by itself, so the reply holds no time after which to retry. */
+/** The reply to a heartbeat. It names no retry delay, since workers send heartbeats at their own interval. */
 export function replyToWorker(response: HeartbeatResponse): HttpReply {
   switch (response.kind) {
     case 'accepted':
@@ -35,7 +35,7 @@
     case 'redirect':
       return { status: 421, body: writeRedirect(response.owner) };
     case 'undecided':
-      return { status: 503, body: NOT_NOW };
+      return { status: 503, body: UNAVAILABLE_BODY };
   }
 }
 
@@ -46,11 +46,11 @@
     const { retryAfterS } = error;
     return { status: 503, body: { error: 'deferred', retryAfterS }, retryAfterS };
   }
-  if (error !== undefined) log.debug({ err: describeError(error) }, 'a request could not be decided');
+  if (error !== undefined) log.debug({ err: describeError(error) }, 'request failed');
   return replyUnavailable();
 }
 
-/** Answers a request whose handler fails, at once or later, with the reply to its error. */
+/** Wraps a handler: if it throws, or its promise rejects, the request gets the reply to that error. */
 export function withErrorReplies(handle: Route['handle'], log: Log): Route['handle'] {
   return (request) => {
     try {
--- a/src/coordination/routes.ts
+++ b/src/coordination/routes.ts
@@ -8,7 +8,7 @@
 import { findInfeasibility } from './feasibility';
 import { refuse, replyUnavailable, replyToWorker, replyWithStatus, withErrorReplies } from './replies';
 
-/** A handler for each route. */
+/** The handlers of the routes. */
 class RequestHandlers {
   constructor(
     private readonly controller: Controller,
@@ -31,7 +31,7 @@
       case 'invalid':
         return refuse(400, submission.error);
       case 'invalid dependencies':
-        return this.#statusOr(submission.id, refuse(400, submission.error));
+        return this.#existingStatusOr(submission.id, refuse(400, submission.error));
       case 'valid':
         break;
     }
@@ -40,7 +40,7 @@
     const { types, settings } = controller;
     if (types.length === 0 || !controller.eventLoopDelay.allowsSubmissions) return replyUnavailable();
     const infeasibility = findInfeasibility(job, types, settings.platform.deployment.teams);
-    if (infeasibility !== undefined) return this.#statusOr(job.id, refuse(422, infeasibility));
+    if (infeasibility !== undefined) return this.#existingStatusOr(job.id, refuse(422, infeasibility));
     const { isNew, status } = await traceSubmission(job, () => controller.jobs.accept(job));
     if (!isNew) return replyWithStatus(controller.withProgress(status));
     log.info({ job: job.id, jobClass: job.jobClass, team: job.team, tasks: job.tasks }, 'job accepted');
@@ -69,8 +69,8 @@
     return response instanceof Promise ? response.then(replyToWorker) : replyToWorker(response);
   }
 
-  /** An accepted job stays accepted, whatever a repeated submission says, or the machine types say today. */
-  async #statusOr(id: string, refusal: HttpReply): Promise<HttpReply> {
+  /** An accepted job's status, else the refusal: neither an invalid repeat nor new machine types undo an acceptance. */
+  async #existingStatusOr(id: string, refusal: HttpReply): Promise<HttpReply> {
     const status = await this.controller.jobs.find(id);
     return status ? replyWithStatus(this.controller.withProgress(status)) : refusal;
   }
@@ -89,7 +89,7 @@
     {
       method: 'GET',
       url: '/peers',
-      // An operator asks when things go wrong: it is answered like the health probe.
+      // Handled like the health probe, because operators request it during failures.
       use: 'health',
       handle: () => handlers.peers(),
     },
