--- a/src/admission/admission-control.ts
+++ b/src/admission/admission-control.ts
@@ -13,7 +13,7 @@
 import type { ChangeEvent, Condition, KeyValueStore } from '../protocol/key-value-store';
 import { NoResponseError } from '../transport/http-client';
 import { RateLimitExceededError, type RateLimit } from '../transport/rate-limit';
-import { decide } from './decision';
+import { decideAdmission } from './decision';
 import type { Epoch } from './epoch';
 import { flowRecordKey, readAdmitted, readEpoch } from './epoch-records';
 import { flowOf } from './flow';
@@ -31,7 +31,7 @@
   readonly clock: Clock;
   readonly log: Log;
   /** Bounds questions about deferred jobs, so that a flood of submissions leaves polls their requests. */
-  readonly lookUps: RateLimit;
+  readonly lookUpLimit: RateLimit;
   /** Brings a change that the key-value store has acknowledged into this controller's copy, and notifies its peers. */
   publish(event: ChangeEvent): void;
 }
@@ -67,7 +67,7 @@
     const flow = flowOf(job);
     const key = flowRecordKey(flow);
     const admitted = readAdmitted(this.context.cache.get(key)?.value, epoch.overload);
-    const decision = decide(epoch, admitted, job);
+    const decision = decideAdmission(epoch, admitted, job);
     traceDecision(job, epoch, decision);
     switch (decision.kind) {
       case 'defer':
@@ -88,7 +88,7 @@
 
   async allowsLookUp(): Promise<boolean> {
     try {
-      await this.context.lookUps.take(1, 0);
+      await this.context.lookUpLimit.take(1, 0);
       return true;
     } catch (error) {
       if (error instanceof RateLimitExceededError) return false;
--- a/src/admission/decision.ts
+++ b/src/admission/decision.ts
@@ -4,7 +4,7 @@
 import { flowOf, jobCost } from './flow';
 
 /** What becomes of a submission. */
-export type Decision =
+export type AdmissionDecision =
   /** No overload: nothing is counted. */
   | { readonly kind: 'open' }
   /** Admitted in an overload: its cost is to be counted for its flow. */
@@ -26,7 +26,7 @@
  *
  * A job that depends on accepted jobs is always admitted: it finishes what was begun. Its cost is counted.
  */
-export function decide(epoch: Epoch, admitted: number, job: Job): Decision {
+export function decideAdmission(epoch: Epoch, admitted: number, job: Job): AdmissionDecision {
   if (!epoch.isOverloaded) return { kind: 'open' };
   const cost = jobCost(job);
   if (job.dependencies) return { kind: 'admit', cost };
--- a/src/admission/epoch-records.ts
+++ b/src/admission/epoch-records.ts
@@ -59,7 +59,7 @@
 }
 
 /** An epoch as it was read. */
-export type ReadEpoch =
+export type EpochReadResult =
   | { readonly kind: 'none' }
   | { readonly kind: 'epoch'; readonly epoch: Epoch; readonly epochMs: number }
   /** The records of classes don't belong to the epoch: this copy is not up to date. */
@@ -68,7 +68,7 @@
   | { readonly kind: 'malformed' };
 
 /** Reads the epoch, with the grants of the classes that are wanted. */
-export function readEpoch(source: RecordSource, isWanted: (jobClass: string) => boolean): ReadEpoch {
+export function readEpoch(source: RecordSource, isWanted: (jobClass: string) => boolean): EpochReadResult {
   const stored = source.get(KEY.admission);
   if (!stored) return { kind: 'none' };
   const header = read.admission(stored.value);
--- a/src/admission/epoch-writer.ts
+++ b/src/admission/epoch-writer.ts
@@ -8,25 +8,25 @@
 import type { Change, ChangeEvent, Condition, KeyValueStore } from '../protocol/key-value-store';
 import { initialEpoch, nextEpoch, type Epoch } from './epoch';
 import { epochChanges, readEpoch } from './epoch-records';
-import { countMachines, readLoadFacts, type FactsContext } from './load-facts';
+import { countMachines, readLoadSnapshot, type LoadContext } from './load-snapshot';
 import type { AdmissionOptions } from './options';
-import { drainTimeS, GrowthWatch } from './overload';
+import { drainTimeS, FleetGrowthTracker } from './overload';
 
-const CHECK_MS = 1_000;
+const CHECK_INTERVAL_MS = 1_000;
 const MS_PER_S = 1_000;
 /** An epoch that comes late grants for no longer than so many intervals. */
 const MAX_ELAPSED_EPOCHS = 3;
 const MAX_DELETIONS_AT_ONCE = 8;
 
 /** What the epoch writer works on. */
-export interface EpochWriterContext extends FactsContext {
+export interface EpochWriterContext extends LoadContext {
   readonly cache: WatchCache;
   readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly log: Log;
   readonly formatGate: FormatGate;
   /** Changes that a transaction may have. */
-  readonly changes: number;
+  readonly maxChanges: number;
   /** The condition that proves that this controller is the leader; undefined when it isn't. */
   leaderCondition(): Condition | undefined;
   /** Brings a change that the key-value store has acknowledged into this controller's copy, and notifies its peers. */
@@ -40,7 +40,7 @@
  * changes nothing.
  */
 export class EpochWriter {
-  readonly #growth = new GrowthWatch();
+  readonly #growth = new FleetGrowthTracker();
   #writtenAt: number | undefined;
   /** The weights in force that were last reported to differ from those of this controller. */
   #reportedWeights: string | undefined;
@@ -54,7 +54,7 @@
   /** One step; to be run in a loop on every controller. */
   async step(signal: AbortSignal): Promise<void> {
     const { cache, clock, formatGate } = this.context;
-    await clock.sleep(CHECK_MS, signal);
+    await clock.sleep(CHECK_INTERVAL_MS, signal);
     if (signal.aborted || !cache.isLoaded) return;
     if (this.options) this.#growth.observe(countMachines(cache), clock.now());
     const leaderCondition = this.context.leaderCondition();
@@ -70,7 +70,7 @@
     const now = this.context.clock.now();
     const epochMs = options.epochS * MS_PER_S;
     if (current.isOverloaded && this.#writtenAt !== undefined && now - this.#writtenAt < epochMs) return;
-    const { load, flows } = readLoadFacts(this.context, current, options.enterS);
+    const { load, flows } = readLoadSnapshot(this.context, current, options.enterS);
     const stalledForS = this.#growth.stalledForS(now);
     const elapsedS = this.#elapsedMs(now, epochMs) / MS_PER_S;
     const next = nextEpoch(current, { load, stalledForS, flows, elapsedS }, options);
@@ -109,7 +109,7 @@
   }
 
   async #write(leaderCondition: Condition, next: Epoch, epochMs: number): Promise<boolean> {
-    const { store, publish, changes: maxChanges } = this.context;
+    const { store, publish, maxChanges } = this.context;
     const changes = epochChanges(limitClasses(next, maxChanges - 1), epochMs);
     const conditions = [leaderCondition, this.#condition(KEY.admission)];
     const result = await store.compareAndSwap(conditions, changes, 'urgent');
@@ -164,7 +164,7 @@
 
   /** Deletes class and flow records that are over, as many as one transaction may. */
   async #deleteSome(leaderCondition: Condition, isOver: (value: unknown) => boolean): Promise<void> {
-    const { cache, store, changes: maxChanges } = this.context;
+    const { cache, store, maxChanges } = this.context;
     const over = [PREFIX.admissionClass, PREFIX.admissionFlow]
       .flatMap((prefix) => [...cache.under(prefix)])
       .filter(({ value }) => isOver(value))
--- a/src/admission/epoch.ts
+++ b/src/admission/epoch.ts
@@ -1,5 +1,5 @@
 /** @file Works out the next admission epoch: whether there is an overload, and what each flow may take. */
-import { divideAmongFlows, type FlowClaim, type Weights } from './entitlements';
+import { fairSharesByFlow, type FlowDemand, type Weights } from './fair-shares';
 import { flowKey, type Flow } from './flow';
 import { drainTimeS, isOverloaded, type Load } from './overload';
 import type { AdmissionOptions } from './options';
@@ -25,7 +25,7 @@
 }
 
 /** What is known of a flow when an epoch is worked out. */
-export interface FlowFacts extends Flow {
+export interface FlowLoad extends Flow {
   /** CPU seconds of its accepted, unfinished work. */
   readonly backlog: number;
   /** CPU seconds admitted since the overload began. */
@@ -33,10 +33,10 @@
 }
 
 /** What an epoch is worked out from. */
-export interface EpochFacts {
+export interface EpochInput {
   readonly load: Load;
   readonly stalledForS: number;
-  readonly flows: readonly FlowFacts[];
+  readonly flows: readonly FlowLoad[];
   /** Seconds since the previous epoch. */
   readonly elapsedS: number;
 }
@@ -58,10 +58,10 @@
 }
 
 /** The epoch that follows; the same object when nothing changes, so that nothing has to be written. */
-export function nextEpoch(current: Epoch, facts: EpochFacts, options: AdmissionOptions): Epoch {
+export function nextEpoch(current: Epoch, facts: EpochInput, options: AdmissionOptions): Epoch {
   const { load, stalledForS } = facts;
-  const isHoldingBack = isAnyExhausted(current, facts.flows);
-  const state = { wasOverloaded: current.isOverloaded, isHoldingBack, load, stalledForS };
+  const isAnyGrantExhausted = hasExhaustedGrant(current, facts.flows);
+  const state = { wasOverloaded: current.isOverloaded, isAnyGrantExhausted, load, stalledForS };
   const overloaded = isOverloaded(state, options);
   if (!overloaded && !current.isOverloaded) return current;
   if (!overloaded) {
@@ -76,7 +76,7 @@
  * The rate at which work is admitted. Estimates are often wrong by half, so the backlog itself corrects the rate: it is
  * held between the thresholds of overload.
  */
-export function admissionRate({ load }: EpochFacts, { enterS, leaveS }: AdmissionOptions): number {
+export function admissionRate({ load }: EpochInput, { enterS, leaveS }: AdmissionOptions): number {
   const targetS = (enterS + leaveS) / 2;
   const factor = (targetS / Math.max(drainTimeS(load), 1)) ** RATE_EXPONENT;
   const capacity = Math.max(load.capacity, 1);
@@ -84,13 +84,13 @@
 }
 
 /** Each flow begins with what its share earns in a few epochs, less what it has taken beyond its share already. */
-function beginOverload(current: Epoch, facts: EpochFacts, options: AdmissionOptions): Epoch {
+function beginOverload(current: Epoch, facts: EpochInput, options: AdmissionOptions): Epoch {
   const { weights } = options;
   const rates = flowRates(facts, options, weights);
   const total = facts.flows.reduce((sum, { backlog }) => sum + backlog, 0);
-  const claims = facts.flows.map(({ jobClass, team, backlog }) => ({ jobClass, team, want: backlog }));
+  const claims = facts.flows.map(({ jobClass, team, backlog }) => ({ jobClass, team, demand: backlog }));
   const targetShare = options.leaveS / Math.max(drainTimeS(facts.load), options.leaveS);
-  const fairBacklogs = divideAmongFlows(total * targetShare, claims, weights);
+  const fairBacklogs = fairSharesByFlow(total * targetShare, claims, weights);
   const grants = facts.flows.map(({ jobClass, team, backlog }) => {
     const key = flowKey({ jobClass, team });
     const rate = rates.get(key) ?? 0;
@@ -106,7 +106,7 @@
   });
 }
 
-function continueOverload(current: Epoch, facts: EpochFacts, options: AdmissionOptions): Epoch {
+function continueOverload(current: Epoch, facts: EpochInput, options: AdmissionOptions): Epoch {
   // Weights change with the next overload only, so that no flow's debt is worked out by two measures.
   const { weights } = current;
   const rates = flowRates(facts, options, weights);
@@ -116,13 +116,13 @@
     const granted = grantedTo(flow);
     return { ...flow, key: flowKey(flow), granted, isExhausted: flow.admitted >= granted };
   });
-  const claims: FlowClaim[] = states.map(({ jobClass, team, key, granted, admitted, isExhausted }) => ({
+  const claims: FlowDemand[] = states.map(({ jobClass, team, key, granted, admitted, isExhausted }) => ({
     jobClass,
     team,
-    want: isExhausted ? Infinity : Math.max(0, savingsLimit(key) - (granted - admitted)),
+    demand: isExhausted ? Infinity : Math.max(0, savingsLimit(key) - (granted - admitted)),
   }));
   const amount = admissionRate(facts, options) * facts.elapsedS;
-  const shares = divideAmongFlows(amount, claims, weights);
+  const shares = fairSharesByFlow(amount, claims, weights);
   const grants = states.map(({ jobClass, team, key, granted, admitted, isExhausted }) => {
     const usable = isExhausted ? granted : Math.min(granted, admitted + savingsLimit(key));
     return { jobClass, team, granted: usable + (shares.get(key) ?? 0), rate: rates.get(key) ?? 0 };
@@ -149,19 +149,19 @@
 }
 
 /** Whether a flow has used up what it was granted, so that more of its jobs may be held back. */
-function isAnyExhausted(epoch: Epoch, flows: readonly FlowFacts[]): boolean {
+function hasExhaustedGrant(epoch: Epoch, flows: readonly FlowLoad[]): boolean {
   const grantedTo = grantLookup(epoch);
   return epoch.isOverloaded && flows.some((flow) => flow.admitted >= grantedTo(flow));
 }
 
 /** What each flow would be granted a second if all of them had unlimited demand. */
-function flowRates(facts: EpochFacts, options: AdmissionOptions, weights: Weights): Map<string, number> {
-  const claims = facts.flows.map(({ jobClass, team }) => ({ jobClass, team, want: Infinity }));
-  return divideAmongFlows(admissionRate(facts, options), claims, weights);
+function flowRates(facts: EpochInput, options: AdmissionOptions, weights: Weights): Map<string, number> {
+  const claims = facts.flows.map(({ jobClass, team }) => ({ jobClass, team, demand: Infinity }));
+  return fairSharesByFlow(admissionRate(facts, options), claims, weights);
 }
 
 /** What the next epoch of an overload is made of. */
-interface OverloadTerms {
+interface OverloadEpochFields {
   readonly overload: number;
   readonly weights: Weights;
   readonly grants: readonly FlowGrant[];
@@ -171,7 +171,7 @@
 }
 
 /** The epoch that follows with these terms. A new flow may take what the flow with the lowest rate may save up. */
-function overloadEpoch(current: Epoch, terms: OverloadTerms): Epoch {
+function overloadEpoch(current: Epoch, terms: OverloadEpochFields): Epoch {
   const { overload, weights, grants, rates, epochS } = terms;
   const smallestRate = rates.size === 0 ? 1 : Math.min(...rates.values());
   return {
--- a/src/admission/entitlements.ts
+++ b/src/admission/fair-shares.ts
@@ -11,16 +11,16 @@
 export const DEFAULT_WEIGHT = 1;
 
 /** A part that wants some of an amount. */
-export interface Claim<Key> {
+export interface WeightedDemand<Key> {
   readonly key: Key;
   readonly weight: number;
   /** The most that it can use; `Infinity` when it can use all. */
-  readonly want: number;
+  readonly demand: number;
 }
 
 /** What a flow wants of the capacity that is to be divided. */
-export interface FlowClaim extends Flow {
-  readonly want: number;
+export interface FlowDemand extends Flow {
+  readonly demand: number;
 }
 
 const EPSILON = 1e-9;
@@ -29,21 +29,24 @@
  * Weighted max-min fairness: an amount is divided in proportion to the weights, and what a claim can't use goes to the
  * others (Demers, Keshav and Shenker, "Analysis and Simulation of a Fair Queueing Algorithm", 1989).
  */
-export function divide<Key>(amount: number, claims: readonly Claim<Key>[]): Map<Key, number> {
+export function maxMinFairShares<Key>(
+  amount: number,
+  claims: readonly WeightedDemand<Key>[],
+): Map<Key, number> {
   const shares = new Map<Key, number>(claims.map(({ key }) => [key, 0]));
-  let unsatisfied = claims.filter(({ want, weight }) => want > 0 && weight > 0);
+  let unsatisfied = claims.filter(({ demand, weight }) => demand > 0 && weight > 0);
   let remaining = amount;
   while (unsatisfied.length > 0 && remaining > EPSILON) {
     const totalWeight = unsatisfied.reduce((sum, { weight }) => sum + weight, 0);
     const perWeight = remaining / totalWeight;
-    const satisfied = unsatisfied.filter(({ want, weight }) => want <= weight * perWeight);
+    const satisfied = unsatisfied.filter(({ demand, weight }) => demand <= weight * perWeight);
     if (satisfied.length === 0) {
       for (const { key, weight } of unsatisfied) shares.set(key, weight * perWeight);
       return shares;
     }
-    for (const { key, want } of satisfied) {
-      shares.set(key, want);
-      remaining -= want;
+    for (const { key, demand } of satisfied) {
+      shares.set(key, demand);
+      remaining -= demand;
     }
     unsatisfied = unsatisfied.filter((claim) => !satisfied.includes(claim));
   }
@@ -51,29 +54,29 @@
 }
 
 /** Divides an amount among classes first, then within each class among its teams. The result is by `flowKey`. */
-export function divideAmongFlows(
+export function fairSharesByFlow(
   amount: number,
-  claims: readonly FlowClaim[],
+  claims: readonly FlowDemand[],
   weights: Weights,
 ): Map<string, number> {
-  const byClass = new Map<string, FlowClaim[]>();
+  const byClass = new Map<string, FlowDemand[]>();
   for (const claim of claims) {
     byClass.set(claim.jobClass, [...(byClass.get(claim.jobClass) ?? []), claim]);
   }
   const classClaims = [...byClass].map(([key, members]) => ({
     key,
     weight: weights.classes[key] ?? DEFAULT_WEIGHT,
-    want: members.reduce((sum, { want }) => sum + want, 0),
+    demand: members.reduce((sum, { demand }) => sum + demand, 0),
   }));
-  const classShares = divide(amount, classClaims);
+  const classShares = maxMinFairShares(amount, classClaims);
   const shares = new Map<string, number>();
   for (const [jobClass, members] of byClass) {
-    const teamClaims = members.map(({ team, want }) => ({
+    const teamClaims = members.map(({ team, demand }) => ({
       key: team,
       weight: weights.teams[team] ?? DEFAULT_WEIGHT,
-      want,
+      demand,
     }));
-    for (const [team, share] of divide(classShares.get(jobClass) ?? 0, teamClaims)) {
+    for (const [team, share] of maxMinFairShares(classShares.get(jobClass) ?? 0, teamClaims)) {
       shares.set(flowKey({ jobClass, team }), share);
     }
   }
--- a/src/admission/load-facts.ts
+++ b/src/admission/load-snapshot.ts
@@ -2,7 +2,7 @@
 import { PREFIX, read } from '../bookkeeping/records';
 import type { WatchCache } from '../bookkeeping/watch-cache';
 import type { Job, MachineType } from '../protocol/model';
-import type { Epoch, FlowFacts } from './epoch';
+import type { Epoch, FlowLoad } from './epoch';
 import { flowRecordKey, readAdmitted } from './epoch-records';
 import { flowKey, flowOf } from './flow';
 import type { Load } from './overload';
@@ -17,21 +17,21 @@
 const RUNNING_TASK_REMAINDER = 0.5;
 
 /** What the facts are read from. */
-export interface FactsContext {
+export interface LoadContext {
   readonly cache: WatchCache;
   types(): readonly MachineType[];
   /** How many tasks of a live job run and are done, as far as is known. */
   progressOf(id: string): TaskProgress | undefined;
   /** Whether the job waits for its dependencies rather than for capacity. */
-  waitsForJobs(id: string): boolean;
+  waitsForDependencies(id: string): boolean;
   /** The upper limit of a team in CPUs; 0 for none. */
-  teamLimit(team: string): number;
+  teamLimitCpus(team: string): number;
 }
 
 /** Load and flows at one moment. */
-export interface LoadFacts {
+export interface LoadSnapshot {
   readonly load: Load;
-  readonly flows: readonly FlowFacts[];
+  readonly flows: readonly FlowLoad[];
 }
 
 /** How many machines the records name. */
@@ -40,7 +40,7 @@
 }
 
 /** Sums up accepted work by flow, and the fleet. `horizonS` bounds what a team's own limit lets it wait for. */
-export function readLoadFacts(context: FactsContext, epoch: Epoch, horizonS: number): LoadFacts {
+export function readLoadSnapshot(context: LoadContext, epoch: Epoch, horizonS: number): LoadSnapshot {
   const flows = new Map<string, { jobClass: string; team: string; backlog: number }>();
   const backlogOfTeam = new Map<string, number>();
   for (const entry of context.cache.under(PREFIX.job)) {
@@ -50,7 +50,7 @@
     const key = flowKey({ jobClass, team });
     const flow = flows.get(key) ?? { jobClass, team, backlog: 0 };
     flows.set(key, flow);
-    if (context.waitsForJobs(job.id)) continue;
+    if (context.waitsForDependencies(job.id)) continue;
     const work = remainingWork(job, context.progressOf(job.id));
     flow.backlog += work;
     backlogOfTeam.set(team, (backlogOfTeam.get(team) ?? 0) + work);
@@ -75,18 +75,18 @@
 /** Work that a team's limit keeps from running is no overload of the fleet: no other team waits because of it. */
 function servableBacklog(
   backlogOfTeam: ReadonlyMap<string, number>,
-  context: FactsContext,
+  context: LoadContext,
   horizonS: number,
 ): number {
   let backlog = 0;
   for (const [team, work] of backlogOfTeam) {
-    const limit = context.teamLimit(team);
+    const limit = context.teamLimitCpus(team);
     backlog += limit > 0 ? Math.min(work, limit * horizonS) : work;
   }
   return backlog;
 }
 
-function fleetCpus({ cache, types }: FactsContext): number {
+function fleetCpus({ cache, types }: LoadContext): number {
   const cpusOf = new Map(types().map(({ name, cpus }) => [name, cpus]));
   let cpus = 0;
   for (const entry of cache.under(PREFIX.machine)) {
--- a/src/admission/overload.ts
+++ b/src/admission/overload.ts
@@ -16,7 +16,7 @@
 }
 
 /** A fleet that grew by less than this share counts as not having grown. */
-const GROWTH_SHARE = 0.05;
+const MIN_GROWTH_SHARE = 0.05;
 /** Capacity that is assumed where there is none, so that a drain time exists. */
 const MIN_CAPACITY_CPUS = 1;
 
@@ -30,12 +30,12 @@
  * booting. How many more the cloud would rent is not published, so a fleet that has stopped growing although work waits is
  * assumed to be as large as it can be.
  */
-export class GrowthWatch {
+export class FleetGrowthTracker {
   #baseline: { at: number; capacity: number } | undefined;
 
   /** Takes in the capacity seen at a steady time in milliseconds. */
   observe(capacity: number, now: number): void {
-    const grew = !this.#baseline || capacity > this.#baseline.capacity * (1 + GROWTH_SHARE);
+    const grew = !this.#baseline || capacity > this.#baseline.capacity * (1 + MIN_GROWTH_SHARE);
     if (grew) this.#baseline = { at: now, capacity };
   }
 
@@ -49,21 +49,21 @@
 export interface OverloadState {
   readonly wasOverloaded: boolean;
   /** A flow has used up what it was granted: more jobs may be waiting to be admitted. */
-  readonly isHoldingBack: boolean;
+  readonly isAnyGrantExhausted: boolean;
   readonly load: Load;
   readonly stalledForS: number;
 }
 
 /** While jobs may be held back, an overload goes on down to this part of the backlog that otherwise ends it. */
-const HOLDING_BACK_FACTOR = 0.25;
+const EXHAUSTED_GRANT_LEAVE_FACTOR = 0.25;
 
 /**
  * Whether there is an overload. It ends at a smaller backlog than it begins at, and not while flows are held back: then
  * grants grow faster than the fleet works, and the jobs that are held back are admitted without a burst.
  */
 export function isOverloaded(state: OverloadState, thresholds: OverloadThresholds): boolean {
-  const { wasOverloaded, isHoldingBack, load, stalledForS } = state;
+  const { wasOverloaded, isAnyGrantExhausted, load, stalledForS } = state;
   const drainS = drainTimeS(load);
   if (!wasOverloaded) return drainS > thresholds.enterS && stalledForS >= thresholds.stalledS;
-  return drainS > thresholds.leaveS * (isHoldingBack ? HOLDING_BACK_FACTOR : 1);
+  return drainS > thresholds.leaveS * (isAnyGrantExhausted ? EXHAUSTED_GRANT_LEAVE_FACTOR : 1);
 }
--- a/src/admission/tracing.ts
+++ b/src/admission/tracing.ts
@@ -1,13 +1,13 @@
 /** @file Spans of submissions, by the OpenTelemetry API: free while no tracer provider is registered. */
 import { trace } from '@opentelemetry/api';
 import type { Job } from '../protocol/model';
-import type { Decision } from './decision';
+import type { AdmissionDecision } from './decision';
 import type { Epoch } from './epoch';
 
 const TRACER = 'ironstream.admission';
 
 /** Records a decision as an event of the span that is active, if there is one. */
-export function traceDecision(job: Job, epoch: Epoch, decision: Decision): void {
+export function traceDecision(job: Job, epoch: Epoch, decision: AdmissionDecision): void {
   trace.getActiveSpan()?.addEvent('decided', {
     'job.id': job.id,
     'job.class': job.jobClass,
--- a/src/coordination/controller-components.ts
+++ b/src/coordination/controller-components.ts
@@ -5,7 +5,7 @@
 import { changesAtOnce } from '../base/state-limits';
 import type { KeyValueStore } from '../protocol/key-value-store';
 import { writePeerMessage, type PeerMessage } from '../protocol/peers';
-import { FixedTimeout } from '../suspicion/peer-liveness';
+import { FixedTimeoutDetector } from '../suspicion/peer-liveness';
 import { PeerReachability } from '../suspicion/peer-reachability';
 import { CloudInventory } from './autoscaling/cloud-inventory';
 import { createControllerServices, type ControllerServices } from './controller-services';
@@ -68,7 +68,7 @@
   environment: Environment,
 ): CoordinationComponents {
   const { clock, cache, cloud, suspicion } = context;
-  const reachability = new PeerReachability(clock, suspicion ?? new FixedTimeout(clock));
+  const reachability = new PeerReachability(clock, suspicion ?? new FixedTimeoutDetector(clock));
   const cloudInventory = new CloudInventory(cloud, clock);
   const broadcast = (message: PeerMessage): void => {
     environment.broadcast(writePeerMessage(message));
@@ -96,10 +96,10 @@
   return new EpochWriter(
     {
       ...context,
-      changes: changesAtOnce(state),
+      maxChanges: changesAtOnce(state),
       progressOf: (id) => progress.get(id),
-      waitsForJobs: (id) => dependencies.graph.has(id) && !dependencies.isReady(id),
-      teamLimit: (team) => teams.find(({ name }) => name === team)?.cpus_max ?? 0,
+      waitsForDependencies: (id) => dependencies.graph.has(id) && !dependencies.isReady(id),
+      teamLimitCpus: (team) => teams.find(({ name }) => name === team)?.cpus_max ?? 0,
       leaderCondition: () => leader.leaderCondition(),
     },
     admission,
--- a/src/coordination/controller-services.ts
+++ b/src/coordination/controller-services.ts
@@ -152,7 +152,7 @@
   { log, ...services }: JobServices,
 ): JobStore {
   const { state } = platform.deployment;
-  const lookUps = new RateLimit(
+  const lookUpLimit = new RateLimit(
     services.clock,
     state.rps * LOOK_UP_RATE_FRACTION,
     state.rps * LOOK_UP_RATE_FRACTION,
@@ -160,7 +160,7 @@
   return new JobStore({
     ...services,
     limits: { valueBytes: valueBytes(state), changes: changesAtOnce(state) },
-    admission: admission ? new AdmissionControl({ ...services, log, lookUps }) : OPEN_ADMISSION,
+    admission: admission ? new AdmissionControl({ ...services, log, lookUpLimit }) : OPEN_ADMISSION,
   });
 }
 
--- a/src/coordination/heartbeat-router.ts
+++ b/src/coordination/heartbeat-router.ts
@@ -45,7 +45,7 @@
     const relayed = record.up ? leaseRelay.respond(heartbeat, record.block) : undefined;
     if (relayed) return { kind: 'accepted', ...relayed };
     // If redirected to an unreachable owner, a worker would wait for a response until its lease expires.
-    const owner = reachability.reaches(lease.owner, record.block) ? lease.owner : undefined;
+    const owner = reachability.isReachable(lease.owner, record.block) ? lease.owner : undefined;
     return { kind: 'redirect', owner };
   }
 }
--- a/src/coordination/ownership/lease-relay.ts
+++ b/src/coordination/ownership/lease-relay.ts
@@ -82,7 +82,7 @@
     // A controller that starts has not received anything from its peers yet. If it relayed then for no reason, the leases
     // of unresponsive workers would count as just renewed, and a shard after a failover would wait for their expiry anew.
     const hasListened = now - this.#startedAt > PEER_TIMEOUT_MS;
-    if (hasListened && !this.reachability.reaches(lease.owner, shard)) this.#neededAt.set(shard, now);
+    if (hasListened && !this.reachability.isReachable(lease.owner, shard)) this.#neededAt.set(shard, now);
     return now - (this.#neededAt.get(shard) ?? -Infinity) < LINGER_MS;
   }
 
@@ -123,7 +123,7 @@
     if (!isRelayed || !session.isValidByOwnLease || heartbeat.attempts.length === 0) return undefined;
     const lease = read.lease(cache.get(KEY.lease(shard))?.value);
     if (!lease || lease.owner === controllerId) return undefined;
-    if (this.reachability.reaches(lease.owner, shard)) return undefined;
+    if (this.reachability.isReachable(lease.owner, shard)) return undefined;
     return { fencingToken: lease.token, commands: evictionsOfEndedJobs(heartbeat, cache) };
   }
 }
--- a/src/coordination/ownership/owner-candidates.ts
+++ b/src/coordination/ownership/owner-candidates.ts
@@ -31,7 +31,7 @@
   const missing = context.formatGate.controllersWithout();
   return [...shardCounts].map(([controller, count]) => ({
     controller,
-    shards: count,
+    shardCount: count,
     isUpgraded: !missing.includes(controller),
   }));
 }
@@ -47,8 +47,8 @@
   shardCounts: ReadonlyMap<string, number>,
 ): string[] {
   const candidates = ownerCandidates(context, shardCounts);
-  if (context.suspicion) return context.suspicion.rank(shard, candidates);
+  if (context.suspicion) return context.suspicion.rankOwners(shard, candidates);
   return candidates
-    .sort((a, b) => a.shards - b.shards || Number(b.isUpgraded) - Number(a.isUpgraded))
+    .sort((a, b) => a.shardCount - b.shardCount || Number(b.isUpgraded) - Number(a.isUpgraded))
     .map(({ controller }) => controller);
 }
--- a/src/coordination/ownership/shard-acquisition.ts
+++ b/src/coordination/ownership/shard-acquisition.ts
@@ -112,7 +112,7 @@
       this.#handovers.delete(shard);
     } else if (!this.#handovers.has(shard)) {
       const handover = new HandoverTrace(shard, this.context);
-      handover.reached('chosen');
+      handover.recordStep('chosen');
       this.#handovers.set(shard, handover);
     }
   }
@@ -166,8 +166,8 @@
     this.#owners.set(shard, owner);
     const handover = this.#handovers.get(shard);
     this.#handovers.delete(shard);
-    handover?.reached('acquired');
-    handover?.reached('token drawn', { token: fencingToken });
+    handover?.recordStep('acquired');
+    handover?.recordStep('token drawn', { token: fencingToken });
     owner.start(handover);
   }
 
--- a/src/coordination/ownership/shard-assignment.ts
+++ b/src/coordination/ownership/shard-assignment.ts
@@ -72,7 +72,7 @@
   #isAssignmentStuck(shard: number, { owner }: ShardRecord): boolean {
     const { suspicion, cache, controllerId } = this.context;
     if (!suspicion || owner === controllerId || cache.get(KEY.lease(shard))) return false;
-    return suspicion.isSuspect(owner) && suspicion.mayChooseAgain();
+    return suspicion.isSuspect(owner) && suspicion.allowsReassignment();
   }
 
   /**
@@ -100,7 +100,7 @@
     if (!least || !most || most[1] - least[1] < MIN_IMBALANCE) return;
     for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
       if (this.#record(shard)?.owner !== most[0]) continue;
-      if (suspicion?.mayMove(shard) === false) continue;
+      if (suspicion?.allowsMove(shard) === false) continue;
       await this.#assign(shard, least[0]);
       return;
     }
--- a/src/coordination/ownership/shard-handover.ts
+++ b/src/coordination/ownership/shard-handover.ts
@@ -49,11 +49,11 @@
     log.info({ shard, successor, reason }, 'planned shard handover');
     const handover = new HandoverTrace(shard, this.context);
     owner.stop(reason);
-    handover.reached('stopped', { reason });
+    handover.recordStep('stopped', { reason });
     await this.#drain(owner);
-    handover.reached('drained', { unanswered: owner.commandsInFlight });
+    handover.recordStep('drained', { unanswered: owner.commandsInFlight });
     await this.#nameSuccessor(owner, successor);
-    handover.reached('successor named', { successor });
+    handover.recordStep('successor named', { successor });
   }
 
   /** Waits for the responses to commands in flight. The successor settles those that are still missing then. */
--- a/src/coordination/peer-messaging.ts
+++ b/src/coordination/peer-messaging.ts
@@ -72,7 +72,7 @@
       from: context.controllerId,
       isViewFresh: readiness.isViewFresh,
       unreachableShards: unreachable.map((owner) => owner.shard),
-      redirected: reachability.redirected(),
+      redirected: reachability.redirectedMachineCounts(),
     };
     const view = context.suspicion?.view();
     return view === undefined ? heartbeat : { ...heartbeat, view };
--- a/src/coordination/shard/round-loop.ts
+++ b/src/coordination/shard/round-loop.ts
@@ -80,9 +80,9 @@
   #traceProgress(handover: HandoverTrace, isRoundUnfinished: boolean): void {
     const { shard } = this;
     if (!shard.areAllMachinesConfirmed) return;
-    handover.reached('workers confirmed', { machines: shard.machines.size });
-    if (!isRoundUnfinished) handover.reached('orphaned jobs placed', { jobs: shard.tables.size });
-    if (handover.isOver) this.#handover = undefined;
+    handover.recordStep('workers confirmed', { machines: shard.machines.size });
+    if (!isRoundUnfinished) handover.recordStep('orphaned jobs placed', { jobs: shard.tables.size });
+    if (handover.isComplete) this.#handover = undefined;
   }
 
   /** One line every now and then, by which an operator sees the state of the shard. */
--- a/src/suspicion/handover-trace.ts
+++ b/src/suspicion/handover-trace.ts
@@ -36,22 +36,22 @@
   }
 
   /** Whether every step has been reached. */
-  get isOver(): boolean {
+  get isComplete(): boolean {
     return LAST_STEPS.some((step) => this.#reached.has(step));
   }
 
   /** A step was reached; `facts` go into its log line. */
-  reached(step: HandoverStep, facts: Readonly<Record<string, number | string>> = {}): void {
-    if (this.#reached.has(step) || this.isOver) return;
+  recordStep(step: HandoverStep, facts: Readonly<Record<string, number | string>> = {}): void {
+    if (this.#reached.has(step) || this.isComplete) return;
     this.#reached.add(step);
     const atMs = Math.round(this.context.clock.now() - this.#startedAt);
     this.context.log.info({ shard: this.shard, step, atMs, ...facts }, 'handover');
     this.#span.addEvent(step, { 'handover.at_ms': atMs });
-    if (this.isOver) this.#span.end();
+    if (this.isComplete) this.#span.end();
   }
 
   /** The handover was broken off: another controller was chosen, or the shard was lost again. */
   abandon(): void {
-    if (!this.isOver) this.#span.addEvent('abandoned').end();
+    if (!this.isComplete) this.#span.addEvent('abandoned').end();
   }
 }
--- a/src/suspicion/move-limiter.ts
+++ b/src/suspicion/move-limiter.ts
@@ -2,7 +2,7 @@
 
 const WINDOW_MS = 60_000;
 /** A shard that moved is not handed over again by choice for so long. */
-const SETTLING_MS = 15_000;
+const SHARD_COOLDOWN_MS = 15_000;
 
 /**
  * Counts the changes of owner that this controller sees in the records, whoever made them, so that a controller that
@@ -18,7 +18,7 @@
   constructor(private readonly movesPerMinute: number) {}
 
   /** The record of a shard names an owner. */
-  onOwner(shard: number, owner: string, now: number): void {
+  recordOwner(shard: number, owner: string, now: number): void {
     const before = this.#owners.get(shard);
     this.#owners.set(shard, owner);
     if (before === undefined || before === owner) return;
@@ -28,13 +28,13 @@
   }
 
   /** Whether suspicion may take this shard from its owner now. */
-  allows(shard: number, now: number): boolean {
-    const hasSettled = now - (this.#movedAt.get(shard) ?? -Infinity) >= SETTLING_MS;
-    return hasSettled && this.allowsAny(now);
+  allowsMove(shard: number, now: number): boolean {
+    const hasSettled = now - (this.#movedAt.get(shard) ?? -Infinity) >= SHARD_COOLDOWN_MS;
+    return hasSettled && this.allowsAnyMove(now);
   }
 
   /** Whether suspicion may move any shard now: one whose lease is free needs no time to settle. */
-  allowsAny(now: number): boolean {
+  allowsAnyMove(now: number): boolean {
     return this.#moves.filter((at) => now - at < WINDOW_MS).length < this.movesPerMinute;
   }
 }
--- a/src/suspicion/options.ts
+++ b/src/suspicion/options.ts
@@ -2,7 +2,7 @@
 import * as z from 'zod';
 import { readOperatorTable } from '../base/operator-table';
 import type { Settings } from '../base/settings';
-import { silenceFor } from './phi';
+import { silenceMsForThreshold } from './phi';
 
 /** Time between two heartbeats of a controller (`PeerHeartbeat`), in milliseconds. */
 export const HEARTBEAT_INTERVAL_MS = 1_000;
@@ -71,7 +71,7 @@
   const regular = { meanMs: HEARTBEAT_INTERVAL_MS, deviationMs: minDeviationMs };
   return {
     ...options,
-    suspectedAfterMs: detector === 'fixed' ? timeoutMs : silenceFor(phiThreshold, regular),
+    suspectedAfterMs: detector === 'fixed' ? timeoutMs : silenceMsForThreshold(phiThreshold, regular),
     verdictAfterMs: settings.shardLeaseMs,
   };
 }
--- a/src/suspicion/peer-detector.ts
+++ b/src/suspicion/peer-detector.ts
@@ -2,20 +2,20 @@
 import type { PeerOpinion, PeerView } from '../protocol/peer-view';
 import { HeartbeatIntervals } from './heartbeat-intervals';
 import { HEARTBEAT_INTERVAL_MS, type SuspicionOptions } from './options';
-import { observe, unknownState, type PeerObservation, type PeerState } from './peer-state';
+import { applyObservation, unknownState, type PeerObservation, type PeerState } from './peer-state';
 import { RunningClock } from './running-clock';
 import { assessSilence } from './silence';
 
 /** Messages of a peer that arrive closer together belong to one heartbeat, or waited in a buffer together. */
-const SAME_HEARTBEAT_MS = HEARTBEAT_INTERVAL_MS / 10;
+const MIN_HEARTBEAT_INTERVAL_MS = HEARTBEAT_INTERVAL_MS / 10;
 /** A view counts for so many heartbeats of running time. */
-const VIEW_LIFETIME_MS = 3 * HEARTBEAT_INTERVAL_MS;
+const MAX_VIEW_AGE_MS = 3 * HEARTBEAT_INTERVAL_MS;
 /**
  * A heartbeat that another controller received counts for so long. By then that controller has reported the next one, if
  * there was one: both come once a second. What others merely know from others doesn't count, so that no hearsay goes round
  * in a circle.
  */
-const INDIRECT_HEARTBEAT_MS = 2.5 * HEARTBEAT_INTERVAL_MS;
+const MAX_INDIRECT_HEARTBEAT_AGE_MS = 2.5 * HEARTBEAT_INTERVAL_MS;
 
 /** The status of a peer changed. */
 export interface StatusChange {
@@ -69,7 +69,7 @@
   }
 
   /** The clock of evidence; silence is measured in its time. */
-  get running(): RunningClock {
+  get runningClock(): RunningClock {
     return this.#running;
   }
 
@@ -93,7 +93,7 @@
     const views = new Map<string, PeerView>();
     for (const peer of this.#peers.values()) {
       const silentMs = this.#silentMs(peer);
-      const isCurrent = silentMs !== undefined && silentMs <= VIEW_LIFETIME_MS;
+      const isCurrent = silentMs !== undefined && silentMs <= MAX_VIEW_AGE_MS;
       if (isCurrent && peer.view) views.set(peer.name, peer.view);
     }
     return views;
@@ -104,7 +104,7 @@
     const peer = this.#peers.get(name);
     if (!peer) return;
     const intervalMs = this.#silentMs(peer);
-    if (intervalMs !== undefined && intervalMs >= SAME_HEARTBEAT_MS) peer.intervals.add(intervalMs);
+    if (intervalMs !== undefined && intervalMs >= MIN_HEARTBEAT_INTERVAL_MS) peer.intervals.add(intervalMs);
     peer.view = view ?? peer.view;
     peer.lastHeartbeatAt = now;
     const heartbeat: PeerObservation = {
@@ -131,9 +131,9 @@
   }
 
   /** Whether this controller itself receives no heartbeats of the peer. */
-  isSilent(name: string): boolean {
+  isUnresponsive(name: string): boolean {
     const peer = this.#peers.get(name);
-    return !peer || this.#isSilent(peer);
+    return !peer || this.#isUnresponsive(peer);
   }
 
   /** How suspicious the peer's present silence is; undefined where no estimate is made. */
@@ -169,7 +169,7 @@
       : this.#running.runningMs - state.lastHeartbeatRunningMs;
   }
 
-  #isSilent(peer: ObservedPeer): boolean {
+  #isUnresponsive(peer: ObservedPeer): boolean {
     const silentMs = this.#silentMs(peer);
     if (silentMs === undefined) return true;
     return assessSilence(silentMs, peer.intervals.distribution, this.options).isSuspicious;
@@ -177,7 +177,7 @@
 
   /** A silence is suspicious unless another controller received a heartbeat meanwhile: then only the link here is cut. */
   #reviewSilence(peer: ObservedPeer, now: number): void {
-    if (!this.#isSilent(peer) || peer.state.status === 'unknown') return;
+    if (!this.#isUnresponsive(peer) || peer.state.status === 'unknown') return;
     const incarnation = this.#incarnationSeenByOthers(peer, now);
     if (incarnation === undefined) this.#observe(peer, { kind: 'silence' }, now);
     else this.#observe(peer, { kind: 'indirect heartbeat', incarnation }, now);
@@ -191,7 +191,7 @@
       const viewAgeMs = now - (observer.lastHeartbeatAt ?? -Infinity);
       for (const { node, run, incarnation, heardMsAgo = Infinity } of observer.view.opinions) {
         if (node !== name || run < state.sessionEpoch) continue;
-        if (heardMsAgo + viewAgeMs > INDIRECT_HEARTBEAT_MS) continue;
+        if (heardMsAgo + viewAgeMs > MAX_INDIRECT_HEARTBEAT_AGE_MS) continue;
         newest = Math.max(newest ?? incarnation, incarnation);
       }
     }
@@ -200,7 +200,7 @@
 
   #observe(peer: ObservedPeer, observation: PeerObservation, now: number): void {
     const before = peer.state;
-    const after = observe(before, observation, this.options, now);
+    const after = applyObservation(before, observation, this.options, now);
     peer.state = after;
     if (after.status !== before.status) this.onChange({ peer: peer.name, before, after });
   }
--- a/src/suspicion/peer-liveness.ts
+++ b/src/suspicion/peer-liveness.ts
@@ -10,11 +10,11 @@
   /** A heartbeat of the peer arrived. */
   onHeartbeat(heartbeat: PeerHeartbeat): void;
   /** Whether the peer has been silent for so long that it may be unreachable; also when it never sent a heartbeat. */
-  isSilent(peer: string): boolean;
+  isUnresponsive(peer: string): boolean;
 }
 
 /** The detector with suspicion off: a fixed timeout on the steady clock. */
-export class FixedTimeout implements PeerLiveness {
+export class FixedTimeoutDetector implements PeerLiveness {
   readonly #lastHeartbeatAt = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
@@ -23,7 +23,7 @@
     this.#lastHeartbeatAt.set(from, this.clock.now());
   }
 
-  isSilent(peer: string): boolean {
+  isUnresponsive(peer: string): boolean {
     const lastHeartbeatAt = this.#lastHeartbeatAt.get(peer);
     return lastHeartbeatAt === undefined || this.clock.now() - lastHeartbeatAt > PEER_TIMEOUT_MS;
   }
--- a/src/suspicion/peer-reachability.ts
+++ b/src/suspicion/peer-reachability.ts
@@ -6,9 +6,9 @@
 /** How long a redirected heartbeat of a worker counts. */
 const REDIRECT_MEMORY_MS = 6_000;
 /** An owner that receives nothing from this share of its workers, while a peer does, hands over its shard. */
-const UNREACHABLE_SHARE = 0.7;
+const MIN_UNREACHABLE_SHARE = 0.7;
 /** Fewer machines than this say nothing about the controller. */
-const MIN_UNREACHABLE = 3;
+const MIN_UNREACHABLE_MACHINES = 3;
 
 /**
  * Which controller reaches which workers, as far as the controllers tell each other. A controller may be unreachable for
@@ -52,7 +52,7 @@
   }
 
   /** How many machines of each shard were redirected from here lately. */
-  redirected(): { shard: number; machines: number }[] {
+  redirectedMachineCounts(): { shard: number; machines: number }[] {
     const now = this.clock.now();
     const counts = new Map<number, number>();
     for (const [machine, { shard, at }] of this.#redirected) {
@@ -63,9 +63,9 @@
   }
 
   /** Whether a worker may be redirected to the owner of its shard. */
-  reaches(owner: string, shard: number): boolean {
+  isReachable(owner: string, shard: number): boolean {
     const heartbeat = this.#heartbeats.get(owner);
-    if (!heartbeat || this.liveness.isSilent(owner)) return false;
+    if (!heartbeat || this.liveness.isUnresponsive(owner)) return false;
     return !heartbeat.unreachableShards.includes(shard);
   }
 
@@ -78,7 +78,7 @@
     let best: { peer: string; reached: number } | undefined;
     let reachedByAll = 0;
     for (const [peer, heartbeat] of this.#heartbeats) {
-      if (this.liveness.isSilent(peer) || !heartbeat.isViewFresh) continue;
+      if (this.liveness.isUnresponsive(peer) || !heartbeat.isViewFresh) continue;
       const reached = heartbeat.redirected.find((entry) => entry.shard === shard)?.machines ?? 0;
       reachedByAll += reached;
       if (reached > (best?.reached ?? 0)) best = { peer, reached };
@@ -89,5 +89,5 @@
 
 /** Whether so many machines without a heartbeat mean that this controller itself is the one that is unreachable. */
 export function areMostUnreachable(machines: number, unreachable: number): boolean {
-  return unreachable >= MIN_UNREACHABLE && unreachable >= machines * UNREACHABLE_SHARE;
+  return unreachable >= MIN_UNREACHABLE_MACHINES && unreachable >= machines * MIN_UNREACHABLE_SHARE;
 }
--- a/src/suspicion/peer-state.ts
+++ b/src/suspicion/peer-state.ts
@@ -55,15 +55,15 @@
   };
 }
 
-function change(state: PeerState, status: PeerStatus, reason: PeerReason, now: number): PeerState {
+function withStatus(state: PeerState, status: PeerStatus, reason: PeerReason, now: number): PeerState {
   if (state.status === status) return state;
   return { ...state, status, reason, since: now };
 }
 
 /** The state of a peer that sent a heartbeat just now. Without a session it stays failed, however many it sends. */
-function onSignOfLife(state: PeerState, reason: PeerReason, now: number): PeerState {
-  if (state.status === 'unknown') return change(state, 'alive', reason, now);
-  if (state.status === 'suspected') return change(state, 'refuted', reason, now);
+function onAnyHeartbeat(state: PeerState, reason: PeerReason, now: number): PeerState {
+  if (state.status === 'unknown') return withStatus(state, 'alive', reason, now);
+  if (state.status === 'suspected') return withStatus(state, 'refuted', reason, now);
   return state;
 }
 
@@ -78,13 +78,13 @@
   };
   // It restarted before its absence was noticed.
   const isNewSession = state.sessionEpoch > 0 && sessionEpoch > state.sessionEpoch;
-  return isNewSession ? change(next, 'returned', 'none', now) : onSignOfLife(next, 'none', now);
+  return isNewSession ? withStatus(next, 'returned', 'none', now) : onAnyHeartbeat(next, 'none', now);
 }
 
 function onIndirectHeartbeat(state: PeerState, reported: number, now: number): PeerState {
   if (state.status !== 'suspected') return state;
   const incarnation = Math.max(state.incarnation, reported);
-  return onSignOfLife({ ...state, incarnation }, 'heard by others', now);
+  return onAnyHeartbeat({ ...state, incarnation }, 'heard by others', now);
 }
 
 function onTime(state: PeerState, options: SuspicionOptions, now: number): PeerState {
@@ -92,11 +92,11 @@
   const isOver =
     (state.status === 'refuted' && elapsedMs >= REFUTED_FOR_MS) ||
     (state.status === 'returned' && elapsedMs >= options.probationMs);
-  return isOver ? change(state, 'alive', 'none', now) : state;
+  return isOver ? withStatus(state, 'alive', 'none', now) : state;
 }
 
 /** The state after an observation at a steady time. */
-export function observe(
+export function applyObservation(
   state: PeerState,
   observation: PeerObservation,
   options: SuspicionOptions,
@@ -106,13 +106,13 @@
     case 'heartbeat':
       return onHeartbeat(state, observation, now);
     case 'silence':
-      return state.status === 'failed' ? state : change(state, 'suspected', 'no heartbeat', now);
+      return state.status === 'failed' ? state : withStatus(state, 'suspected', 'no heartbeat', now);
     case 'indirect heartbeat':
       return onIndirectHeartbeat(state, observation.incarnation, now);
     case 'session ended':
-      return state.status === 'unknown' ? state : change(state, 'failed', 'lease ended', now);
+      return state.status === 'unknown' ? state : withStatus(state, 'failed', 'lease ended', now);
     case 'session exists':
-      return state.status === 'failed' ? change(state, 'returned', 'none', now) : state;
+      return state.status === 'failed' ? withStatus(state, 'returned', 'none', now) : state;
     case 'time':
       return onTime(state, options, now);
   }
--- a/src/suspicion/peers-report.ts
+++ b/src/suspicion/peers-report.ts
@@ -33,7 +33,7 @@
 }
 
 /** What a report is made of. */
-export interface PeersReportFacts {
+export interface PeersReportInput {
   readonly controllerId: string;
   readonly view: PeerView;
   /** The views of peers that count, by their senders. */
@@ -63,7 +63,7 @@
 }
 
 /** Puts the report together: the opinions of this controller first, then those of its peers by their names. */
-export function peersReport(facts: PeersReportFacts): PeersReport {
+export function peersReport(facts: PeersReportInput): PeersReport {
   const { controllerId, view, views } = facts;
   const own = view.opinions.map((opinion) => rowOf(controllerId, opinion, facts.phiOf(opinion.node)));
   const others = [...views]
--- a/src/suspicion/phi.ts
+++ b/src/suspicion/phi.ts
@@ -37,7 +37,7 @@
 const STEP_MS = 10;
 
 /** The shortest silence, in steps of 10 ms, that is as suspicious as a threshold asks for. */
-export function silenceFor(threshold: number, distribution: IntervalDistribution): number {
+export function silenceMsForThreshold(threshold: number, distribution: IntervalDistribution): number {
   let silentMs = distribution.meanMs;
   while (phi(silentMs, distribution) < threshold) silentMs += STEP_MS;
   return silentMs;
--- a/src/suspicion/running-clock.ts
+++ b/src/suspicion/running-clock.ts
@@ -1,9 +1,9 @@
 /** @file Time during which this process was seen to run, and the pauses in between. */
 
 /** How often the process notes that it runs, in milliseconds. */
-export const TICK_MS = 200;
+export const TICK_INTERVAL_MS = 200;
 /** A tick adds at most this much running time, however long ago the one before was. */
-const MAX_PER_TICK_MS = 1.5 * TICK_MS;
+const MAX_RUNNING_MS_PER_TICK = 1.5 * TICK_INTERVAL_MS;
 /** How many pauses are remembered. */
 const MAX_PAUSES = 64;
 
@@ -31,9 +31,9 @@
   /** Notes that the process runs at this steady time. */
   tick(now: number): void {
     const elapsedMs = now - this.#lastTickAt;
-    this.#runningMs += Math.min(elapsedMs, MAX_PER_TICK_MS);
-    if (elapsedMs > MAX_PER_TICK_MS) {
-      this.#pauses.push({ from: this.#lastTickAt + TICK_MS, to: now });
+    this.#runningMs += Math.min(elapsedMs, MAX_RUNNING_MS_PER_TICK);
+    if (elapsedMs > MAX_RUNNING_MS_PER_TICK) {
+      this.#pauses.push({ from: this.#lastTickAt + TICK_INTERVAL_MS, to: now });
       this.#pauses = this.#pauses.slice(-MAX_PAUSES);
     }
     this.#lastTickAt = now;
--- a/src/suspicion/successor.ts
+++ b/src/suspicion/successor.ts
@@ -5,7 +5,7 @@
 export interface OwnerCandidate {
   readonly controller: string;
   /** How many shards it has. */
-  readonly shards: number;
+  readonly shardCount: number;
   /** Whether it runs the newest version that any controller is known to run. */
   readonly isUpgraded: boolean;
 }
@@ -47,7 +47,7 @@
   return [...candidates].sort(
     (a, b) =>
       falseFirst(a.isSuspect, b.isSuspect) ||
-      a.shards - b.shards ||
+      a.shardCount - b.shardCount ||
       falseFirst(!a.isUpgraded, !b.isUpgraded) ||
       falseFirst(a.isOnProbation, b.isOnProbation) ||
       falseFirst(!a.wasLastOwner, !b.wasLastOwner) ||
--- a/src/suspicion/suspicion.ts
+++ b/src/suspicion/suspicion.ts
@@ -15,7 +15,7 @@
 import { peersReport, type PeersReport } from './peers-report';
 import { isStalled, plannedHandoverReason, type PlannedHandoverReason } from './planned-handover';
 import { RejectedMessages, rejectionReason } from './rejected-messages';
-import { TICK_MS, type Pause } from './running-clock';
+import { TICK_INTERVAL_MS, type Pause } from './running-clock';
 import { rankCandidates, type OwnerCandidate } from './successor';
 
 /** What suspicion works on. */
@@ -71,7 +71,7 @@
   /** One look at the peers and at this process; to be run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
     const { clock, cache, controllerId } = this.context;
-    await clock.sleep(TICK_MS, signal);
+    await clock.sleep(TICK_INTERVAL_MS, signal);
     const now = clock.now();
     this.#sessionEpoch = Math.max(this.#sessionEpoch, cache.version(KEY.controller(controllerId)));
     this.#detector.tick(now, (peer) => this.#sessionOf(peer));
@@ -103,8 +103,8 @@
     }
   }
 
-  isSilent(peer: string): boolean {
-    return this.#detector.isSilent(peer);
+  isUnresponsive(peer: string): boolean {
+    return this.#detector.isUnresponsive(peer);
   }
 
   /** What this controller tells its peers. */
@@ -118,7 +118,7 @@
   }
 
   /** The candidates in the order in which they are to own a shard; computed alike by all that hold the same views. */
-  rank(shard: number, candidates: readonly OwnerCandidate[]): string[] {
+  rankOwners(shard: number, candidates: readonly OwnerCandidate[]): string[] {
     const lastOwner = this.#lastOwnerOf(shard);
     const assessed = candidates.map((candidate) => ({
       ...candidate,
@@ -147,13 +147,13 @@
   }
 
   /** Whether damping allows a shard whose lease is free to be assigned to another controller than was chosen. */
-  mayChooseAgain(): boolean {
-    return this.#moves.allowsAny(this.context.clock.now());
+  allowsReassignment(): boolean {
+    return this.#moves.allowsAnyMove(this.context.clock.now());
   }
 
   /** Whether damping allows a shard to be moved by choice at this moment. */
-  mayMove(shard: number): boolean {
-    return this.#moves.allows(shard, this.context.clock.now());
+  allowsMove(shard: number): boolean {
+    return this.#moves.allowsMove(shard, this.context.clock.now());
   }
 
   /**
@@ -164,9 +164,9 @@
   plannedHandover(shard: number, candidates: readonly OwnerCandidate[]): PlannedHandover | undefined {
     const self = { stalls: this.#stalls(), suspectedSince: this.#suspectedSince };
     const reason = plannedHandoverReason(self, this.options, this.context.clock.now());
-    if (reason === undefined || !this.mayMove(shard)) return undefined;
+    if (reason === undefined || !this.allowsMove(shard)) return undefined;
     const fit = candidates.filter(({ controller }) => this.#isFit(controller));
-    const [successor] = this.rank(shard, fit);
+    const [successor] = this.rankOwners(shard, fit);
     return successor === undefined ? undefined : { successor, reason };
   }
 
@@ -176,7 +176,7 @@
 
   /** Whether a peer is in a state to own a shard that this controller hands over. */
   #isFit(peer: string): boolean {
-    if (peer === this.context.controllerId || this.isSuspect(peer) || this.isSilent(peer)) return false;
+    if (peer === this.context.controllerId || this.isSuspect(peer) || this.isUnresponsive(peer)) return false;
     if (!this.#peersWithFreshView.has(peer) || !this.#detector.views.has(peer)) return false;
     const now = this.context.clock.now();
     const lastStall = this.#stalls().at(-1);
@@ -201,7 +201,7 @@
   /** The pauses of this process that count as stalls, within the window. */
   #stalls(): Pause[] {
     const { stallWindowMs, stallMs } = this.options;
-    return this.#detector.running.pausesSince(this.context.clock.now() - stallWindowMs, stallMs);
+    return this.#detector.runningClock.pausesSince(this.context.clock.now() - stallWindowMs, stallMs);
   }
 
   #isStalled(): boolean {
@@ -218,7 +218,7 @@
     if (deleted || !key.startsWith(PREFIX.shard)) return;
     const record = read.shard(value);
     const shard = Number(key.slice(PREFIX.shard.length));
-    if (record) this.#moves.onOwner(shard, record.owner, this.context.clock.now());
+    if (record) this.#moves.recordOwner(shard, record.owner, this.context.clock.now());
   }
 
   #logChange({ peer, before, after }: StatusChange): void {
--- a/test/admission-decisions.test.ts
+++ b/test/admission-decisions.test.ts
@@ -1,11 +1,11 @@
 /** @file Admission: how capacity is divided, when there is an overload, and what a job is told. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { decide } from '../src/admission/decision';
-import { divide, divideAmongFlows, effectiveWeights } from '../src/admission/entitlements';
-import { initialEpoch, nextEpoch, type Epoch, type FlowFacts } from '../src/admission/epoch';
+import { decideAdmission } from '../src/admission/decision';
+import { maxMinFairShares, fairSharesByFlow, effectiveWeights } from '../src/admission/fair-shares';
+import { initialEpoch, nextEpoch, type Epoch, type FlowLoad } from '../src/admission/epoch';
 import { flowKey } from '../src/admission/flow';
-import { GrowthWatch, isOverloaded } from '../src/admission/overload';
+import { FleetGrowthTracker, isOverloaded } from '../src/admission/overload';
 import type { AdmissionOptions } from '../src/admission/options';
 import type { Job } from '../src/protocol/model';
 
@@ -42,11 +42,11 @@
   deadlineS: null,
 });
 
-const flow = (jobClass: string, team: string, backlog: number, admitted = 0): FlowFacts => {
+const flow = (jobClass: string, team: string, backlog: number, admitted = 0): FlowLoad => {
   return { jobClass, team, backlog, admitted };
 };
 
-const facts = (drainS: number, flows: FlowFacts[], stalledForS = 30, elapsedS = 5) => {
+const facts = (drainS: number, flows: FlowLoad[], stalledForS = 30, elapsedS = 5) => {
   return { load: { backlog: drainS * CAPACITY, capacity: CAPACITY }, flows, stalledForS, elapsedS };
 };
 
@@ -58,13 +58,13 @@
 
 test('what one claim cannot use goes to the others by weight, and no more than the amount is given', () => {
   const claims = [
-    { key: 'a', weight: 1, want: 2 },
-    { key: 'b', weight: 1, want: Infinity },
-    { key: 'c', weight: 2, want: Infinity },
-    { key: 'd', weight: 5, want: 0 },
+    { key: 'a', weight: 1, demand: 2 },
+    { key: 'b', weight: 1, demand: Infinity },
+    { key: 'c', weight: 2, demand: Infinity },
+    { key: 'd', weight: 5, demand: 0 },
   ];
   assert.deepEqual(
-    [...divide(11, claims)],
+    [...maxMinFairShares(11, claims)],
     [
       ['a', 2],
       ['b', 3],
@@ -72,13 +72,17 @@
       ['d', 0],
     ],
   );
-  assert.deepEqual([...divide(0, claims).values()], [0, 0, 0, 0]);
-  assert.deepEqual([...divide(100, claims.slice(0, 1)).values()], [2]);
+  assert.deepEqual([...maxMinFairShares(0, claims).values()], [0, 0, 0, 0]);
+  assert.deepEqual([...maxMinFairShares(100, claims.slice(0, 1)).values()], [2]);
 });
 
 test('classes come first: a class does not get more for having more teams', () => {
-  const claims = ['a', 'b', 'c', 'd'].map((team) => ({ jobClass: 'wide', team, want: Infinity }));
-  const shares = divideAmongFlows(80, [...claims, { jobClass: 'narrow', team: 'a', want: Infinity }], EQUAL);
+  const claims = ['a', 'b', 'c', 'd'].map((team) => ({ jobClass: 'wide', team, demand: Infinity }));
+  const shares = fairSharesByFlow(
+    80,
+    [...claims, { jobClass: 'narrow', team: 'a', demand: Infinity }],
+    EQUAL,
+  );
   assert.equal(shares.get(flowKey({ jobClass: 'narrow', team: 'a' })), 40);
   for (const { team } of claims) assert.equal(shares.get(flowKey({ jobClass: 'wide', team })), 10);
 });
@@ -98,10 +102,10 @@
 });
 
 test('an overload begins with a long backlog on a fleet that no longer grows, and ends at a shorter one', () => {
-  const state = (wasOverloaded: boolean, drainS: number, stalledForS = 20, isHoldingBack = false) => {
+  const state = (wasOverloaded: boolean, drainS: number, stalledForS = 20, isAnyGrantExhausted = false) => {
     return {
       wasOverloaded,
-      isHoldingBack,
+      isAnyGrantExhausted,
       load: { backlog: drainS * CAPACITY, capacity: CAPACITY },
       stalledForS,
     };
@@ -118,7 +122,7 @@
 });
 
 test('a fleet that grows by little, or shrinks, counts as not growing', () => {
-  const growth = new GrowthWatch();
+  const growth = new FleetGrowthTracker();
   assert.equal(growth.stalledForS(0), 0);
   growth.observe(100, 0);
   growth.observe(104, 5_000);
@@ -132,7 +136,7 @@
 test('without an overload no epoch is written and no job is counted', () => {
   const epoch = initialEpoch(EQUAL);
   assert.equal(nextEpoch(epoch, facts(10, [flow('a', 'x', 1000)]), OPTIONS), epoch);
-  assert.deepEqual(decide(epoch, 1e9, jobOf('req-1', 'a', 'x')), { kind: 'open' });
+  assert.deepEqual(decideAdmission(epoch, 1e9, jobOf('req-1', 'a', 'x')), { kind: 'open' });
 });
 
 test('a flow that took more than its share begins in debt, a small one is admitted at once', () => {
@@ -141,21 +145,21 @@
   assert.equal(epoch.isOverloaded, true);
   assert.equal(epoch.overload, 1);
   assert.ok(grantOf(epoch, 'a', 'flood') < 0);
-  assert.equal(decide(epoch, 0, jobOf('req-1', 'a', 'flood')).kind, 'defer');
-  assert.equal(decide(epoch, 0, jobOf('req-1', 'a', 'small')).kind, 'admit');
-  assert.equal(decide(epoch, 0, jobOf('req-1', 'b', 'other')).kind, 'admit');
-  assert.equal(decide(epoch, 0, jobOf('req-1', 'new class', 'new')).kind, 'admit');
+  assert.equal(decideAdmission(epoch, 0, jobOf('req-1', 'a', 'flood')).kind, 'defer');
+  assert.equal(decideAdmission(epoch, 0, jobOf('req-1', 'a', 'small')).kind, 'admit');
+  assert.equal(decideAdmission(epoch, 0, jobOf('req-1', 'b', 'other')).kind, 'admit');
+  assert.equal(decideAdmission(epoch, 0, jobOf('req-1', 'new class', 'new')).kind, 'admit');
 });
 
 test('a job of any size is admitted while its flow has credit, and its overdraft is repaid before the next', () => {
   const flows = [flow('a', 'x', 1), flow('b', 'y', 1)];
   let epoch = nextEpoch(initialEpoch(EQUAL), facts(101, flows), OPTIONS);
   const huge = jobOf('req-1', 'a', 'x', 100_000);
-  assert.deepEqual(decide(epoch, 0, huge), { kind: 'admit', cost: 1_000_000 });
+  assert.deepEqual(decideAdmission(epoch, 0, huge), { kind: 'admit', cost: 1_000_000 });
   const admitted = 1_000_000;
-  assert.equal(decide(epoch, admitted, jobOf('req-2', 'a', 'x')).kind, 'defer');
+  assert.equal(decideAdmission(epoch, admitted, jobOf('req-2', 'a', 'x')).kind, 'defer');
   let epochs = 0;
-  while (decide(epoch, admitted, jobOf('req-2', 'a', 'x')).kind === 'defer') {
+  while (decideAdmission(epoch, admitted, jobOf('req-2', 'a', 'x')).kind === 'defer') {
     epoch = nextEpoch(
       epoch,
       facts(75, [flow('a', 'x', 1, admitted), flow('b', 'y', 1, grantOf(epoch, 'b', 'y'))]),
@@ -213,10 +217,10 @@
   const epoch = nextEpoch(initialEpoch(EQUAL), facts(101, flows), OPTIONS);
   const times = Array.from({ length: 60 }, (_, n) => {
     const job = jobOf(`req-${n}`, 'a', 'x');
-    const decision = decide(epoch, grantOf(epoch, 'a', 'x') + 300, job);
+    const decision = decideAdmission(epoch, grantOf(epoch, 'a', 'x') + 300, job);
     assert.deepEqual(
       decision,
-      decide(structuredClone(epoch), grantOf(epoch, 'a', 'x') + 300, structuredClone(job)),
+      decideAdmission(structuredClone(epoch), grantOf(epoch, 'a', 'x') + 300, structuredClone(job)),
     );
     assert.ok(decision.kind === 'defer');
     return decision.retryAfterS;
@@ -228,5 +232,5 @@
 test('a job that depends on accepted ones is admitted in debt, and counted', () => {
   const epoch = nextEpoch(initialEpoch(EQUAL), facts(101, [flow('a', 'x', 1)]), OPTIONS);
   const job = { ...jobOf('req-2', 'a', 'x'), dependencies: ['req-1'] };
-  assert.deepEqual(decide(epoch, 1e9, job), { kind: 'admit', cost: 10 });
+  assert.deepEqual(decideAdmission(epoch, 1e9, job), { kind: 'admit', cost: 10 });
 });
--- a/test/cancellation-bound.test.ts
+++ b/test/cancellation-bound.test.ts
@@ -4,7 +4,7 @@
 import { MAX_CLOCK_DRIFT } from '../src/bookkeeping/session';
 import type { ControllerContext } from '../src/coordination/controller-context';
 import { LeaseRelay } from '../src/coordination/ownership/lease-relay';
-import { FixedTimeout } from '../src/suspicion/peer-liveness';
+import { FixedTimeoutDetector } from '../src/suspicion/peer-liveness';
 import { PeerReachability } from '../src/suspicion/peer-reachability';
 import type { ChangeEvent } from '../src/protocol/key-value-store';
 import { parseHeartbeat } from '../src/protocol/workers';
@@ -170,7 +170,7 @@
     };
     const relay = new LeaseRelay(
       context as unknown as ControllerContext,
-      new PeerReachability(cluster.clock, new FixedTimeout(cluster.clock)),
+      new PeerReachability(cluster.clock, new FixedTimeoutDetector(cluster.clock)),
     );
     await cluster.clock.advance(5_000);
     await relay.step();
--- a/test/load/detectors.ts
+++ b/test/load/detectors.ts
@@ -3,7 +3,7 @@
 import type { PeerView } from '../../src/protocol/peer-view';
 import { HEARTBEAT_INTERVAL_MS } from '../../src/suspicion/options';
 import { PeerDetector } from '../../src/suspicion/peer-detector';
-import { TICK_MS } from '../../src/suspicion/running-clock';
+import { TICK_INTERVAL_MS } from '../../src/suspicion/running-clock';
 import { DEFAULT_OPTIONS } from '../suspicion-defaults';
 import { createRandom, type RandomBetween } from './random-between';
 
@@ -133,7 +133,7 @@
     }
     // Without self-doubt the time that passed counts, and timers fire before what came is read.
     for (let missed = stoppedAt[index] ?? now; wasStopped && !variant.hasSelfDoubt && missed < now;) {
-      missed += TICK_MS;
+      missed += TICK_INTERVAL_MS;
       detector.tick(missed, () => 'exists');
     }
     detector.tick(now, () => 'exists');
@@ -166,7 +166,7 @@
       tally.needlessMoves += 1;
   };
 
-  for (; now < endMs; now += TICK_MS) {
+  for (; now < endMs; now += TICK_INTERVAL_MS) {
     for (let index = 0; index < CONTROLLERS; index += 1) turn(index);
     for (let index = 0; index < CONTROLLERS; index += 1) judge(index);
   }
--- a/test/suspicion-consequences.test.ts
+++ b/test/suspicion-consequences.test.ts
@@ -21,7 +21,7 @@
   isSuspect: false,
   isOnProbation: false,
   wasLastOwner: false,
-  shards: 0,
+  shardCount: 0,
   isUpgraded: true,
   ...fields,
 });
@@ -44,7 +44,7 @@
 });
 
 test('a suspect comes last, even with fewer shards; where all are suspects that is no reason', () => {
-  const [healthy, suspect] = [candidate('a', { shards: 5 }), candidate('b', { isSuspect: true })];
+  const [healthy, suspect] = [candidate('a', { shardCount: 5 }), candidate('b', { isSuspect: true })];
   assert.deepEqual(names(rankCandidates(0, [suspect, healthy])), ['a', 'b']);
   assert.deepEqual(names(rankCandidates(0, [suspect, { ...healthy, isSuspect: true }])), ['b', 'a']);
 });
@@ -54,7 +54,7 @@
     candidate('holder', { wasLastOwner: true }),
     candidate('returned', { isOnProbation: true }),
     candidate('old', { isUpgraded: false }),
-    candidate('loaded', { shards: 1 }),
+    candidate('loaded', { shardCount: 1 }),
     candidate('suspect', { isSuspect: true }),
   ];
   assert.deepEqual(names(rankCandidates(3, [...order].reverse())), names(order));
@@ -62,25 +62,25 @@
 
 test('damping: moves of all shards within a minute are bounded, and a shard that moved stays for a while', () => {
   const moves = new MoveLimiter(3);
-  moves.onOwner(0, 'a', 0);
-  assert.ok(moves.allows(0, 0), 'the first owner that is seen is no move');
-  moves.onOwner(0, 'b', 1_000);
-  assert.ok(!moves.allows(0, 15_900));
-  assert.ok(moves.allows(0, 16_000));
-  moves.onOwner(0, 'b', 17_000);
-  assert.ok(moves.allows(0, 17_000), 'the same owner again is no move');
-  moves.onOwner(0, 'a', 20_000);
-  moves.onOwner(0, 'b', 36_000);
-  assert.ok(!moves.allows(1, 60_900), 'three within a minute, whatever the shard');
-  assert.ok(moves.allows(1, 61_000));
-  assert.ok(!new MoveLimiter(0).allows(0, 0));
+  moves.recordOwner(0, 'a', 0);
+  assert.ok(moves.allowsMove(0, 0), 'the first owner that is seen is no move');
+  moves.recordOwner(0, 'b', 1_000);
+  assert.ok(!moves.allowsMove(0, 15_900));
+  assert.ok(moves.allowsMove(0, 16_000));
+  moves.recordOwner(0, 'b', 17_000);
+  assert.ok(moves.allowsMove(0, 17_000), 'the same owner again is no move');
+  moves.recordOwner(0, 'a', 20_000);
+  moves.recordOwner(0, 'b', 36_000);
+  assert.ok(!moves.allowsMove(1, 60_900), 'three within a minute, whatever the shard');
+  assert.ok(moves.allowsMove(1, 61_000));
+  assert.ok(!new MoveLimiter(0).allowsMove(0, 0));
   // One that nobody holds needs no time to settle.
   const recent = new MoveLimiter(2);
-  recent.onOwner(0, 'a', 0);
-  recent.onOwner(0, 'b', 1_000);
-  assert.deepEqual([recent.allows(0, 1_000), recent.allowsAny(1_000)], [false, true]);
-  recent.onOwner(0, 'a', 2_000);
-  assert.ok(!recent.allowsAny(2_000));
+  recent.recordOwner(0, 'a', 0);
+  recent.recordOwner(0, 'b', 1_000);
+  assert.deepEqual([recent.allowsMove(0, 1_000), recent.allowsAnyMove(1_000)], [false, true]);
+  recent.recordOwner(0, 'a', 2_000);
+  assert.ok(!recent.allowsAnyMove(2_000));
 });
 
 /** The owner stalls so often, short of its lease each time. */
--- a/test/suspicion-detector.test.ts
+++ b/test/suspicion-detector.test.ts
@@ -5,8 +5,8 @@
 import { HeartbeatIntervals } from '../src/suspicion/heartbeat-intervals';
 import type { SuspicionOptions } from '../src/suspicion/options';
 import { PeerDetector, type SessionState } from '../src/suspicion/peer-detector';
-import { phi, silenceFor, type IntervalDistribution } from '../src/suspicion/phi';
-import { RunningClock, TICK_MS } from '../src/suspicion/running-clock';
+import { phi, silenceMsForThreshold, type IntervalDistribution } from '../src/suspicion/phi';
+import { RunningClock, TICK_INTERVAL_MS } from '../src/suspicion/running-clock';
 import { DEFAULT_OPTIONS } from './suspicion-defaults';
 
 const HEARTBEAT_MS = 1_000;
@@ -54,7 +54,7 @@
   /** Lets time pass tick by tick; each peer that speaks sends a heartbeat a second. */
   run(ms: number, speakers: Record<string, PeerView> = {}): void {
     for (const end = this.now + ms; this.now < end;) {
-      this.now += TICK_MS;
+      this.now += TICK_INTERVAL_MS;
       // Timers fire before sockets are read.
       this.detector.tick(this.now, (node) => this.sessions.get(node) ?? 'exists');
       for (; this.#nextHeartbeatAt <= this.now; this.#nextHeartbeatAt += HEARTBEAT_MS) {
@@ -80,7 +80,7 @@
   assert.ok(Math.abs(phi(1_500, regular) - 6.542) < 0.01);
   assert.ok(phi(1_500, irregular) < 1);
   assert.ok(Number.isFinite(phi(1e9, regular)));
-  assert.ok(silenceFor(8, regular) < silenceFor(8, irregular));
+  assert.ok(silenceMsForThreshold(8, regular) < silenceMsForThreshold(8, irregular));
 });
 
 test('intervals: unknown at first, then what was seen lately; memory stays bounded and an outage is cut short', () => {
@@ -139,23 +139,23 @@
   const bench = new Bench();
   bench.run(20_000, SPEAKING);
   bench.pause(8_000);
-  bench.run(TICK_MS);
+  bench.run(TICK_INTERVAL_MS);
   // What the peers sent meanwhile is read after the first timers.
-  assert.equal(bench.detector.isSilent('a'), false);
+  assert.equal(bench.detector.isUnresponsive('a'), false);
   bench.run(20_000, SPEAKING);
   for (let turn = 0; turn < 20; turn += 1) {
     bench.pause(600);
-    bench.run(TICK_MS, SPEAKING);
+    bench.run(TICK_INTERVAL_MS, SPEAKING);
   }
   assert.ok(!bench.changes.some((change) => change.endsWith('to suspected')), bench.changes.join());
 });
 
 test('running time: pauses are remembered, and how many is bounded', () => {
   const clock = new RunningClock(0);
-  for (let now = TICK_MS; now <= 2_000; now += TICK_MS) clock.tick(now);
+  for (let now = TICK_INTERVAL_MS; now <= 2_000; now += TICK_INTERVAL_MS) clock.tick(now);
   assert.equal(clock.runningMs, 2_000);
   clock.tick(10_000);
-  assert.equal(clock.runningMs, 2_000 + 1.5 * TICK_MS);
+  assert.equal(clock.runningMs, 2_000 + 1.5 * TICK_INTERVAL_MS);
   assert.deepEqual(clock.pausesSince(0, 5_000), [{ from: 2_200, to: 10_000 }]);
   assert.deepEqual(clock.pausesSince(10_000, 5_000), []);
   for (let now = 20_000; now < 20_000_000; now += 10_000) clock.tick(now);
@@ -166,7 +166,7 @@
   const bench = new Bench();
   bench.run(20_000, SPEAKING);
   bench.run(10_000, { b: viewOf([opinionOn('a', { heardMsAgo: 300 })]) });
-  assert.equal(bench.detector.isSilent('a'), true);
+  assert.equal(bench.detector.isUnresponsive('a'), true);
   assert.notEqual(bench.status('a'), 'suspected');
   // The other one has not heard it for long either.
   bench.run(4_000, { b: viewOf([opinionOn('a', { heardMsAgo: 4_000 })]) });
@@ -222,7 +222,7 @@
   bench.run(20_000, SPEAKING);
   for (let n = 0; n < 300; n += 1) bench.detector.onHeartbeat('a', SPEAKING.a, bench.now);
   bench.run(1_400);
-  assert.equal(bench.detector.isSilent('a'), false);
+  assert.equal(bench.detector.isUnresponsive('a'), false);
 });
 
 test('peers that the settings do not name are not kept', () => {
--- a/test/suspicion-handover.test.ts
+++ b/test/suspicion-handover.test.ts
@@ -108,14 +108,14 @@
   };
   const handover = new HandoverTrace(3, { clock, log: log as never });
   for (const step of FAILOVER_STEPS) {
-    handover.reached(step);
-    handover.reached(step);
+    handover.recordStep(step);
+    handover.recordStep(step);
     await clock.advance(250);
   }
-  assert.equal(handover.isOver, true);
+  assert.equal(handover.isComplete, true);
   assert.equal(lines.length, FAILOVER_STEPS.length, 'a step that is repeated is logged once');
   const brokenOff = new HandoverTrace(4, { clock, log: log as never });
-  brokenOff.reached('chosen');
+  brokenOff.recordStep('chosen');
   brokenOff.abandon();
   handover.abandon();
   const spans = exporter.getFinishedSpans();
