--- a/src/coordination/ownership/fencing-token-raiser.ts
+++ b/src/coordination/ownership/fencing-token-raiser.ts
@@ -1,14 +1,14 @@
-/** @file Raises a shard's fencing token while a start without a response is in doubt. */
+/** @file Raises a shard's fencing token while start commands without a response leave attempts unconfirmed. */
 import { KEY, read } from '../../bookkeeping/records';
 import type { ControllerContext } from '../controller-context';
 import { fencingTokenOf } from '../shard/attempt';
 import type { Shard } from '../shard/shard';
 
 const CHECK_INTERVAL_MS = 250;
-/** Least time between two raises of the token while a start without a response is in doubt. */
-const RAISE_IN_DOUBT_MS = 1_000;
-/** The same where a raise only serves to forget attempts that have exited. */
-const RAISE_TO_FORGET_MS = 8_000;
+/** Minimum interval between two raises while a start command without a response leaves an attempt unconfirmed. */
+const MIN_RAISE_INTERVAL_MS = 1_000;
+/** Minimum interval between two raises that only make exited attempts safe to forget. */
+const MIN_EXITED_RAISE_INTERVAL_MS = 8_000;
 
 /**
  * Raises the shard's fencing token: every worker then refuses the commands that were sent under lower tokens and never
@@ -49,22 +49,22 @@
   }
 
   #isNeeded(sinceRaiseMs: number): boolean {
-    if (sinceRaiseMs < RAISE_IN_DOUBT_MS) return false;
-    // Nearly always there is nothing to find: walking over all attempts of a thousand machines four times a second took a
-    // twentieth of the owner's time (docs/PERFORMANCE.md).
-    if (!this.shard.hasUnconfirmedStarts && sinceRaiseMs < RAISE_TO_FORGET_MS) return false;
-    const isAnyInDoubt = this.#isAnyAttemptInDoubt(sinceRaiseMs);
-    if (!isAnyInDoubt) this.shard.hasUnconfirmedStarts = false;
-    return isAnyInDoubt;
+    if (sinceRaiseMs < MIN_RAISE_INTERVAL_MS) return false;
+    // Usually no attempt is unconfirmed, and iterating over all attempts of a thousand machines four times a second
+    // took a twentieth of the owner's time (docs/PERFORMANCE.md).
+    if (!this.shard.hasUnconfirmedStarts && sinceRaiseMs < MIN_EXITED_RAISE_INTERVAL_MS) return false;
+    const hasUnconfirmed = this.#hasUnconfirmedAttempt(sinceRaiseMs);
+    if (!hasUnconfirmed) this.shard.hasUnconfirmedStarts = false;
+    return hasUnconfirmed;
   }
 
-  #isAnyAttemptInDoubt(sinceRaiseMs: number): boolean {
+  #hasUnconfirmedAttempt(sinceRaiseMs: number): boolean {
     for (const machine of this.shard.machines.values()) {
       for (const attempt of machine.attempts.values()) {
         if (fencingTokenOf(attempt.number) < this.shard.fencingToken) continue;
         if (attempt.isStartInFlight || !attempt.wasStartSent) continue;
         if (attempt.phase === 'starting') return true;
-        if (attempt.phase === 'exited' && sinceRaiseMs >= RAISE_TO_FORGET_MS) return true;
+        if (attempt.phase === 'exited' && sinceRaiseMs >= MIN_EXITED_RAISE_INTERVAL_MS) return true;
       }
     }
     return false;
--- a/src/coordination/ownership/heartbeat-messages.ts
+++ b/src/coordination/ownership/heartbeat-messages.ts
@@ -1,10 +1,10 @@
 /** @file Splits a controller's heartbeat to its peers into messages of bounded size. */
 import type { JobProgress, PeerHeartbeat, PeerMessage } from '../../protocol/peers';
 
-/** Jobs in one message, which keeps it well below the largest frame that peers accept. */
+/** Maximum number of jobs in one message, which keeps it well below the frame size limit of peers. */
 export const JOBS_PER_MESSAGE = 2_000;
 
-/** The messages for any number of jobs; one without jobs where there are none, since it is a sign of life too. */
+/** The messages for any number of jobs; without jobs one empty message, because peers need the heartbeat itself. */
 export function heartbeatMessages(
   state: Omit<PeerHeartbeat, 'jobs'>,
   jobs: readonly JobProgress[],
--- a/src/coordination/ownership/leader.ts
+++ b/src/coordination/ownership/leader.ts
@@ -1,4 +1,4 @@
-/** @file Election of the leader, and the order of its duties. */
+/** @file Leader election, and the periodic duties of the leader. */
 import { eventOfChange } from '../../bookkeeping/change-events';
 import { KEY, read } from '../../bookkeeping/records';
 import type { ChangeEvent, Condition } from '../../protocol/key-value-store';
@@ -9,15 +9,15 @@
 import { ShardAssignment } from './shard-assignment';
 
 /**
- * Stands for election and, while elected, assigns shards to live controllers, adopts machines without a record, and
- * deletes the records that ended jobs left behind. The leader has no other duties: it decides nothing about jobs.
+ * Takes part in the leader election. The elected controller assigns shards to live controllers, adopts machines without
+ * a record, and deletes records of ended jobs. The leader has no other duties: it schedules no jobs.
  */
 export class Leader {
   readonly #shardAssignment: ShardAssignment;
   readonly #machineAdoption: MachineAdoption;
   readonly #garbageCollector: RecordGarbageCollector;
 
-  /** `mayBeBoundByGrant`: whether this process began so recently that a grant of a previous one may still bind it. */
+  /** `mayBeBoundByGrant`: whether a lease extension that a previous process granted may still be valid. */
   constructor(
     private readonly context: ControllerContext,
     cloud: CloudInventory,
@@ -29,16 +29,16 @@
     this.#garbageCollector = new RecordGarbageCollector(context);
   }
 
-  /** Whether this controller leads, as far as its copy of the records shows. */
+  /** Whether this controller is the leader, according to its watch cache. */
   get isLeader(): boolean {
     const { cache, controllerId, session } = this.context;
     return session.isValid && read.leader(cache.get(KEY.leader)?.value)?.node === controllerId;
   }
 
   /**
-   * The condition that proves, inside a transaction, that this controller still leads; undefined when it knows that it
-   * doesn't. To be asked for right before each write: between two writes of one step another controller may have become
-   * the leader, and its record's version would prove nothing.
+   * The condition by which a transaction succeeds only while this controller is the leader; undefined when it knows
+   * that it isn't. Callers get it right before each write: between two writes of one step another controller may have
+   * become the leader, and the version of that controller's record would guarantee nothing.
    */
   leaderCondition(): Condition | undefined {
     return this.isLeader ? { key: KEY.leader, version: this.context.cache.version(KEY.leader) } : undefined;
--- a/src/coordination/ownership/lease-extension.ts
+++ b/src/coordination/ownership/lease-extension.ts
@@ -13,24 +13,24 @@
 const REMEMBERED_REQUESTS = 10;
 
 /**
- * Extends the right of a shard owner to act while no controller can reach the key-value store.
+ * Extends a shard owner's lease while no controller can reach the key-value store.
  *
- * An owner that can't renew its lease can't tell an outage for all from a refusal of itself alone, so without help it
- * has to stop when its lease ends by its own clock, although in an outage no other controller could acquire its shards.
- * It therefore sends a request to all peers. A peer that can't reach the key-value store either grants it: the peer then
- * acquires no shard for `LEASE_EXTENSION_MS`. The owner goes on only with grants of all peers; one peer that doesn't
- * respond, or that can reach the key-value store, is enough to stop it.
+ * An owner that can't renew its lease can't tell whether the store is unreachable for all controllers or for itself
+ * alone. Without an extension it has to stop when its lease ends by its own clock, although in an outage for all no
+ * other controller could acquire its shards. It therefore sends a request to all peers. A peer grants it if it can't
+ * reach the key-value store either, and then acquires no shard for `LEASE_EXTENSION_MS`. The owner continues only with
+ * grants of all peers: one peer that doesn't respond, or that can reach the key-value store, is enough to stop it.
  */
 export class LeaseExtension {
-  /** When the latest requests were sent, by their numbers. */
+  /** Send times of the latest requests, by request number. */
   readonly #requestedAt = new Map<number, number>();
-  /** For each peer, when the latest request that it granted was sent. */
+  /** For each peer, the send time of the latest request that it granted. */
   readonly #grantedRequestAt = new Map<string, number>();
   #requestNumber = 0;
-  /** Whether this controller may be acquiring a shard at this moment. */
+  /** Whether this controller may have an acquisition in progress. */
   #isAcquiring = false;
-  /** Steady time up to which grants of this controller forbid it to acquire a shard. */
-  #boundUntil: number;
+  /** Steady time up to which grants given by this controller forbid it to acquire a shard. */
+  #acquisitionForbiddenUntil: number;
 
   constructor(
     private readonly context: ControllerContext,
@@ -38,16 +38,16 @@
     /** Steady time at which this process began. */
     startedAt: number,
   ) {
-    // The previous process of this controller may have granted a request, of which this one knows nothing.
-    this.#boundUntil = startedAt + LEASE_EXTENSION_MS * (1 + DRIFT);
+    // The previous process of this controller may have granted a request that this process doesn't know of.
+    this.#acquisitionForbiddenUntil = startedAt + LEASE_EXTENSION_MS * (1 + DRIFT);
   }
 
   /** Whether no grant given by this controller forbids it to acquire a shard. */
   get mayAcquireShards(): boolean {
-    return this.context.clock.now() > this.#boundUntil;
+    return this.context.clock.now() > this.#acquisitionForbiddenUntil;
   }
 
-  /** Until `endAcquisition` this controller may acquire a shard, so it grants nothing. */
+  /** Until `endAcquisition` this controller may acquire a shard, so it grants no request. */
   beginAcquisition(): void {
     this.#isAcquiring = true;
   }
@@ -71,15 +71,18 @@
     });
   }
 
-  /** Grants a peer's request, or ignores it when this controller can reach the key-value store or sees another owner. */
+  /** Grants a peer's request, or ignores it if this controller can reach the key-value store or sees another owner. */
   onRequest(request: LeaseExtensionRequest): void {
     const { clock, store, cache, controllerId } = this.context;
     if (!store.isUnavailable || this.#isAcquiring || this.#hasLostShard(request.from)) return;
-    // The grant has to name the cancellations that the requester may have missed: it would not learn of them while it
-    // acts by grants. If this controller no longer remembers all of them, it must not grant.
+    // The grant has to list the ended jobs that the requester may have missed, since it receives no change events
+    // during the outage. If this controller no longer remembers all of them, it must not grant the request.
     const ended = cache.deletedSince(PREFIX.job, request.revision);
     if (!ended) return;
-    this.#boundUntil = Math.max(this.#boundUntil, clock.now() + LEASE_EXTENSION_MS * (1 + DRIFT));
+    this.#acquisitionForbiddenUntil = Math.max(
+      this.#acquisitionForbiddenUntil,
+      clock.now() + LEASE_EXTENSION_MS * (1 + DRIFT),
+    );
     const grant: LeaseExtensionGrant = {
       from: controllerId,
       to: request.from,
@@ -106,15 +109,15 @@
     session.extendUntil(until);
   }
 
-  /** Steady time up to which the grants of all peers hold; -Infinity while one of them has granted nothing. */
+  /** Steady time up to which the grants of all peers are valid; -Infinity while one of them has granted nothing. */
   #grantedUntil(): number {
     const { others } = this.context.settings.platform;
-    // Counted from when the request was sent, which is before any peer can have granted it.
+    // Counted from the send time of the request, which is before any peer can have granted it.
     const oldest = Math.min(...others.map(({ node }) => this.#grantedRequestAt.get(node) ?? -Infinity));
     return oldest + LEASE_EXTENSION_MS * (1 - DRIFT) - SAFETY_MARGIN_MS;
   }
 
-  /** Whether a shard assigned to the controller is leased by another, which the controller may be unable to see. */
+  /** Whether a shard assigned to the controller is not leased by it, which that controller may not know of. */
   #hasLostShard(controller: string): boolean {
     const { cache, settings } = this.context;
     for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
--- a/src/coordination/ownership/lease-relay.ts
+++ b/src/coordination/ownership/lease-relay.ts
@@ -1,4 +1,4 @@
-/** @file Relay of worker leases: renews them for workers that reach this controller and not their owner. */
+/** @file Relay of worker leases: renews them for workers that reach this controller but not their shard's owner. */
 import { KEY, read } from '../../bookkeeping/records';
 import { shardCount } from '../../bookkeeping/shard-count';
 import type { WatchCache } from '../../bookkeeping/watch-cache';
@@ -7,10 +7,10 @@
 import type { PeerReachability } from '../../suspicion/peer-reachability';
 import type { ControllerContext } from '../controller-context';
 
-/** How long a controller goes on relaying after it last had a reason to. */
+/** How long a controller continues to relay after the owner was last unreachable. */
 const LINGER_MS = 3_000;
 
-/** Stop commands for the reported attempts whose jobs have ended: each renewal of a worker's lease carries them. */
+/** Stop commands for the reported attempts whose jobs have ended; each renewal of a worker's lease includes them. */
 export function evictionsOfEndedJobs(heartbeat: WorkerHeartbeat, cache: WatchCache): WorkerCommand[] {
   return heartbeat.attempts
     .filter((attempt) => attempt.phase !== 'exited' && !cache.get(KEY.job(attempt.job)))
@@ -30,22 +30,22 @@
 }
 
 /**
- * Renews the leases of another controller's workers while they reach this controller and not their owner, as in a
- * network partition between zones or during a failover.
+ * Renews the leases of another controller's workers while they reach this controller but not their shard's owner, as in
+ * a network partition between zones or during a failover.
  *
  * A relay responds to heartbeats with the shard's current fencing token and starts nothing; it only stops tasks of jobs
- * that have ended. The owner must not declare such workers dead. So a relay first writes a record that it relays, which
- * is bound to its own lease, and responds only while that lease is valid; the owner declares an unresponsive worker dead
- * only when the key-value store confirms that no such record exists.
+ * that have ended. The owner must not declare such workers dead. A relay therefore first writes a relay record bound to
+ * its own lease, and responds only while that lease is valid. The owner declares an unresponsive worker dead only when
+ * the key-value store confirms that no such record exists.
  */
 export class LeaseRelay {
   /**
-   * Shards with an acknowledged record of this controller that was not deleted since, and the lease that the record is
-   * bound to: with the next lease the record is gone, even when no step ran in between.
+   * Shards for which this controller has an acknowledged relay record, with the lease that the record is bound to. An
+   * entry of an earlier lease doesn't count: the record was deleted with that lease, even if no step has run since.
    */
   readonly #relayed = new Map<number, number>();
-  /** When a relay of the shard was last needed. */
-  readonly #neededAt = new Map<number, number>();
+  /** Steady time when a relay of each shard was last needed. */
+  readonly #lastNeededAt = new Map<number, number>();
   readonly #startedAt: number;
 
   constructor(
@@ -55,7 +55,7 @@
     this.#startedAt = context.clock.now();
   }
 
-  /** One step: writes or deletes records. To be run in a loop, and whenever a peer may have become unreachable. */
+  /** One step: writes or deletes relay records. To be run in a loop, and when a peer may have become unreachable. */
   async step(): Promise<void> {
     const { cache, session, settings, clock } = this.context;
     const { lease: ownLease } = session;
@@ -79,11 +79,11 @@
     const { cache, controllerId } = this.context;
     const lease = read.lease(cache.get(KEY.lease(shard))?.value);
     if (lease === undefined || lease.owner === controllerId) return false;
-    // A controller that starts has not received anything from its peers yet. If it relayed then for no reason, the leases
-    // of unresponsive workers would count as just renewed, and a shard after a failover would wait for their expiry anew.
-    const hasListened = now - this.#startedAt > PEER_TIMEOUT_MS;
-    if (hasListened && !this.reachability.reaches(lease.owner, shard)) this.#neededAt.set(shard, now);
-    return now - (this.#neededAt.get(shard) ?? -Infinity) < LINGER_MS;
+    // A controller that just started has received no peer's heartbeat yet. If it relayed for that reason, leases of
+    // unresponsive workers would count as renewed, and after a failover the shard would wait again for their expiry.
+    const isStartupOver = now - this.#startedAt > PEER_TIMEOUT_MS;
+    if (isStartupOver && !this.reachability.reaches(lease.owner, shard)) this.#lastNeededAt.set(shard, now);
+    return now - (this.#lastNeededAt.get(shard) ?? -Infinity) < LINGER_MS;
   }
 
   async #writeRecord(shard: number, ownLease: number): Promise<void> {
@@ -98,7 +98,7 @@
 
   async #deleteRecord(shard: number): Promise<void> {
     const key = this.#key(shard);
-    // In this order: no heartbeat gets a response any more when the record goes.
+    // Responses stop before the record is deleted, because the owner may then declare unresponsive workers dead.
     this.#relayed.delete(shard);
     await this.context.store.compareAndSwap(
       [{ key, version: this.context.cache.version(key) }],
@@ -112,10 +112,10 @@
   }
 
   /**
-   * The response to a worker's heartbeat if this controller relays its shard; only for a machine that holds tasks. Never
-   * by virtue of a lease extension: during an outage of the key-value store no controller can raise the fencing token, so
-   * a start command of the owner that is delayed beyond the partition could still be carried out for as long as the relay
-   * responds, though its job was cancelled long ago.
+   * The response to a worker's heartbeat if this controller relays its shard; only for a machine that has attempts. A
+   * lease extension by peers is not enough: during an outage of the key-value store no controller can raise the fencing
+   * token. A start command of the owner that is delayed until after the partition could then still be executed as long
+   * as the relay responds, although its job was cancelled long ago.
    */
   respond(heartbeat: WorkerHeartbeat, shard: number): RelayResponse | undefined {
     const { cache, session, controllerId } = this.context;
--- a/src/coordination/ownership/machine-adoption.ts
+++ b/src/coordination/ownership/machine-adoption.ts
@@ -1,4 +1,4 @@
-/** @file Adoption of machines that the cloud lists and no record names; the leader's duty. */
+/** @file Adoption of machines that the cloud lists but that have no record; the leader's duty. */
 import { changesAtOnce } from '../../base/state-limits';
 import { eventOfChange } from '../../bookkeeping/change-events';
 import { KEY, PREFIX, read, type MachineRecord } from '../../bookkeeping/records';
@@ -8,17 +8,17 @@
 import type { CloudInventory } from '../autoscaling/cloud-inventory';
 import type { ControllerContext } from '../controller-context';
 
-/** A younger machine may be about to be recorded by the controller that rented it. */
+/** Younger machines are not adopted, because the controller that rented them may be about to record them. */
 const MIN_AGE_S = 5;
-/** Machines adopted by one transaction. */
+/** Maximum number of machines adopted by one transaction. */
 const MAX_ADOPTIONS = 10;
 
 /**
- * Gives machines without a record to the shard with the fewest machines. A rental whose response was lost, or that the
- * cloud carried out late, shows up in the cloud's list only.
+ * Assigns machines without a record to the shard with the fewest machines. If the response to a rental was lost, or the
+ * cloud executed it late, its machine appears only in the cloud's list.
  */
 export class MachineAdoption {
-  /** `leadershipCondition` proves inside a transaction that this controller leads. */
+  /** `leadershipCondition` makes a transaction fail unless this controller is the leader. */
   constructor(
     private readonly context: ControllerContext,
     private readonly leadershipCondition: () => Condition | undefined,
@@ -32,14 +32,14 @@
     const leadership = this.leadershipCondition();
     if (unrecorded.length === 0 || !leadership) return;
     const shard = this.#shardWithFewestMachines();
-    // From now on, although they were rented earlier: each has its full time to boot, like any other machine.
+    // The time of adoption instead of the earlier rental, so that each machine gets the full boot time.
     const rentedAt = clock.date().getTime();
     const changes = unrecorded.map((machine) => ({
       put: KEY.machine(machine.id),
       value: recordOf(machine, shard, rentedAt),
     }));
-    const areUnrecorded = changes.map(({ put }) => ({ key: put, version: 0 }));
-    const result = await store.compareAndSwap([leadership, ...areUnrecorded], changes);
+    const noRecordConditions = changes.map(({ put }) => ({ key: put, version: 0 }));
+    const result = await store.compareAndSwap([leadership, ...noRecordConditions], changes);
     if (!result.ok) return;
     log.info({ shard, machines: unrecorded.map(({ id }) => id) }, 'unrecorded machines adopted');
     for (const change of changes) publish(eventOfChange(change, result.revision));
--- a/src/coordination/ownership/owner-candidates.ts
+++ b/src/coordination/ownership/owner-candidates.ts
@@ -1,4 +1,4 @@
-/** @file The controllers that could own a shard, as the records show them. */
+/** @file The controllers that could own a shard, according to the records. */
 import { KEY, PREFIX, read } from '../../bookkeeping/records';
 import { shardCount } from '../../bookkeeping/shard-count';
 import type { OwnerCandidate } from '../../suspicion/successor';
@@ -11,7 +11,7 @@
     .map((entry) => entry.key.slice(PREFIX.controller.length));
 }
 
-/** How many shards are assigned to each live controller. */
+/** The number of shards assigned to each live controller. */
 export function shardCountByController(context: ControllerContext): Map<string, number> {
   const { cache, settings } = context;
   const shardCounts = new Map(liveControllers(context).map((controller) => [controller, 0]));
@@ -23,7 +23,7 @@
   return shardCounts;
 }
 
-/** The live controllers with the facts that the choice of an owner depends on. */
+/** The live controllers with the properties by which an owner is chosen. */
 export function ownerCandidates(
   context: ControllerContext,
   shardCounts: ReadonlyMap<string, number>,
@@ -37,9 +37,9 @@
 }
 
 /**
- * The controllers in the order in which they are to own a shard: those with the fewest shards first, and among equals
- * those that have been upgraded, since one that is still to be restarted would soon lose its shard again. With suspicion
- * on, suspects come last.
+ * The controllers in order of preference as owners of a shard: those with the fewest shards first, and among equals the
+ * upgraded ones, since a controller that is still to be restarted for an upgrade would soon lose its shard again. With
+ * suspicion on, suspects come last.
  */
 export function rankOwners(
   context: ControllerContext,
--- a/src/coordination/ownership/record-garbage-collector.ts
+++ b/src/coordination/ownership/record-garbage-collector.ts
@@ -5,44 +5,44 @@
 import { KEY, PREFIX } from '../../bookkeeping/records';
 import type { ControllerContext } from '../controller-context';
 
-/** Records deleted by one transaction. */
+/** Maximum number of records deleted by one transaction. */
 const MAX_DELETIONS = 8;
 
 /**
- * Parts of a list of dependencies are written before the job that they belong to is accepted. A user repeats a
- * submission for a minute; parts without a job for longer belong to none.
+ * How long a dependency part has to be without its job before it is deleted. Parts are written before their job is
+ * accepted, and a user repeats a submission for a minute; a part that is older than that belongs to no job.
  */
-const UNCLAIMED_PART_MS = 120_000;
+const MIN_ORPHAN_PART_AGE_MS = 120_000;
 
 /** A record that belongs to no live job. */
 export interface OrphanRecord {
   readonly key: string;
   readonly version: number;
-  /** Key of the live record that the job would have. */
+  /** Key of the record that the job would have if it were live. */
   readonly job: string;
 }
 
-/** What the garbage collector works on. */
+/** The part of a controller that the garbage collector uses. */
 export type GarbageCollectorContext = Pick<ControllerContext, 'cache' | 'clock' | 'store' | 'settings'>;
 
 /**
- * Finds orphan records in this controller's copy of the records, and deletes them. A cancellation leaves the job's
- * completions behind, and so does an end whose writer got no response to an earlier write of them: once the job is gone,
- * nothing else would ever delete them.
+ * Finds orphan records in the watch cache, and deletes them. A cancellation leaves the job's completion records behind.
+ * So does the final write of a job if an earlier completion write got no response, because its writer doesn't know of
+ * that record. Once the job's record is gone, nothing else would ever delete them.
  */
 export class RecordGarbageCollector {
-  /** Since when, in steady time, dependency parts have been seen without their job. */
-  readonly #unclaimedSince = new Map<string, number>();
+  /** Steady time at which each dependency part was first seen without its job. */
+  readonly #withoutJobSince = new Map<string, number>();
 
   constructor(private readonly context: GarbageCollectorContext) {}
 
-  /** One step of the leader: deletes some orphans, as many as fit one transaction. */
+  /** One step of the leader: deletes as many orphans as fit into one transaction. */
   async step(): Promise<void> {
     const { store, settings } = this.context;
-    const most = changesAtOnce(settings.platform.deployment.state, MAX_DELETIONS);
-    const orphans = this.orphans().slice(0, most);
+    const maxDeletions = changesAtOnce(settings.platform.deployment.state, MAX_DELETIONS);
+    const orphans = this.orphans().slice(0, maxDeletions);
     if (orphans.length === 0) return;
-    // Only the conditions prove that the jobs have ended. They are enough: an ended job never becomes live again.
+    // The cache may be stale, so the conditions check that the jobs have ended. An ended job never becomes live again.
     await store.compareAndSwap(
       orphans.flatMap(({ key, version, job }) => [
         { key, version },
@@ -52,7 +52,7 @@
     );
   }
 
-  /** Records that may be deleted, provided that the key-value store has no live job for them either. */
+  /** Records that may be deleted, provided that their jobs are not live in the key-value store either. */
   orphans(): OrphanRecord[] {
     return [...this.#orphanCompletions(), ...this.#orphanDependencyParts()];
   }
@@ -66,14 +66,16 @@
 
   #orphanDependencyParts(): OrphanRecord[] {
     const now = this.context.clock.now();
-    const unclaimed = this.#unclaimedDependencyParts();
-    const keys = new Set(unclaimed.map(({ key }) => key));
-    for (const key of this.#unclaimedSince.keys()) if (!keys.has(key)) this.#unclaimedSince.delete(key);
-    for (const key of keys) if (!this.#unclaimedSince.has(key)) this.#unclaimedSince.set(key, now);
-    return unclaimed.filter(({ key }) => now - (this.#unclaimedSince.get(key) ?? now) > UNCLAIMED_PART_MS);
+    const partsWithoutJob = this.#dependencyPartsWithoutJob();
+    const keys = new Set(partsWithoutJob.map(({ key }) => key));
+    for (const key of this.#withoutJobSince.keys()) if (!keys.has(key)) this.#withoutJobSince.delete(key);
+    for (const key of keys) if (!this.#withoutJobSince.has(key)) this.#withoutJobSince.set(key, now);
+    return partsWithoutJob.filter(
+      ({ key }) => now - (this.#withoutJobSince.get(key) ?? now) > MIN_ORPHAN_PART_AGE_MS,
+    );
   }
 
-  #unclaimedDependencyParts(): OrphanRecord[] {
+  #dependencyPartsWithoutJob(): OrphanRecord[] {
     const { cache } = this.context;
     return [...cache.under(PREFIX.dependencyPart)]
       .map(({ key, version }) => ({ key, version, job: KEY.job(jobOfDependencyPartKey(key)) }))
--- a/src/coordination/ownership/shard-acquisition.ts
+++ b/src/coordination/ownership/shard-acquisition.ts
@@ -1,4 +1,4 @@
-/** @file Acquires the shards that the leader assigned to this controller, and gives up those assigned elsewhere. */
+/** @file Acquires the shards that the leader assigned to this controller, and releases those assigned to others. */
 import { KEY, read, type ShardRecord } from '../../bookkeeping/records';
 import { shardCount } from '../../bookkeeping/shard-count';
 import type { Change, Condition, Entry } from '../../protocol/key-value-store';
@@ -9,11 +9,11 @@
 import type { LeaseExtension } from './lease-extension';
 import { ShardHandover } from './shard-handover';
 
-const VIEW_POLL_MS = 5;
+const CACHE_POLL_MS = 5;
 
 /**
- * The outcome for one shard. Lost: this controller's session ended, or the lease went again before this controller's copy
- * of the records showed it, so no other shard is tried in the same step.
+ * The outcome for one shard. Lost: this controller's session ended, or the new lease was gone before the watch cache
+ * showed it. The step then tries to acquire no other shard.
  */
 type AcquisitionOutcome = 'acquired' | 'refused' | 'lost';
 
@@ -24,7 +24,7 @@
  */
 export class ShardAcquisition {
   readonly #owners = new Map<number, ShardOwner>();
-  /** Handovers to this controller that are under way, by shard; none with suspicion off. */
+  /** Handovers to this controller that are in progress, by shard; none with suspicion off. */
   readonly #handovers = new Map<number, HandoverTrace>();
   readonly #shardHandover: ShardHandover;
 
@@ -36,24 +36,24 @@
     this.#shardHandover = new ShardHandover(context, reachability);
   }
 
-  /** The owned shards by their numbers. One that was just stopped may still be among them. */
+  /** The owners of this controller's shards, by shard number; one that was just stopped may be included. */
   get owners(): ReadonlyMap<number, ShardOwner> {
     return this.#owners;
   }
 
-  /** One step: gives up what is assigned elsewhere, hands over, and acquires. To be run in a loop. */
+  /** One step: releases shards assigned to others, hands shards over, and acquires shards. To be run in a loop. */
   async step(): Promise<void> {
     this.leaseExtension.beginAcquisition();
     try {
-      for (const owner of [...this.#owners.values()]) await this.#review(owner);
+      for (const owner of [...this.#owners.values()]) await this.#reviewOwnership(owner);
       await this.#acquireAssigned();
     } finally {
       this.leaseExtension.endAcquisition();
     }
   }
 
-  /** Gives an owned shard up when it is assigned elsewhere, or when another controller serves it better. */
-  async #review(owner: ShardOwner): Promise<void> {
+  /** Releases an owned shard if it is assigned to another controller, or if another controller serves it better. */
+  async #reviewOwnership(owner: ShardOwner): Promise<void> {
     const { controllerId, cache, session, store } = this.context;
     const { shard } = owner;
     const lease = read.lease(cache.get(KEY.lease(shard))?.value);
@@ -61,7 +61,7 @@
       owner.stop('lease not held here');
     } else if (this.#record(shard)?.owner !== controllerId) {
       owner.stop('assigned to another controller');
-      // Only after the stop: once the lease is gone the other controller may acquire the shard.
+      // The owner has to stop first: once the lease is deleted the other controller may acquire the shard.
       await store.compareAndSwap([owner.leaseCondition()], [{ delete: KEY.lease(shard) }], 'urgent');
     }
     if (!owner.isStopped) await this.#shardHandover.handOverIfUnreachable(owner);
@@ -89,23 +89,23 @@
       return 'refused';
     }
     const record = this.#record(shard);
-    this.#followAssignment(shard, record?.owner === controllerId);
+    this.#traceAssignment(shard, record?.owner === controllerId);
     if (record?.owner !== controllerId || !this.#mayAcquire(record)) return 'refused';
     return this.#acquire(shard, record, session.lease);
   }
 
   /**
-   * An acquisition of this controller that got no response was carried out after all, or the controller stopped while a
-   * raise of the fencing token that got no response hid the lease's version. No `ShardOwner` acts by that lease, so it is
-   * deleted and acquired anew; otherwise any controller that the shard is assigned to would wait for as long as this
-   * controller's session lives.
+   * Deletes a lease of this controller that no `ShardOwner` uses, so that it can be acquired again. Either an
+   * acquisition without a response was applied after all, or an owner stopped without knowing the lease's version,
+   * because a raise of its fencing token got no response. Otherwise any controller that the shard is assigned to would
+   * wait until this controller's session ends.
    */
   async #deleteLeaseWithoutOwner({ key, version }: Entry): Promise<void> {
     await this.context.store.compareAndSwap([{ key, version }], [{ delete: key }], 'urgent');
   }
 
-  /** A handover begins when this controller is seen to be chosen, and is broken off when another is. */
-  #followAssignment(shard: number, isAssigned: boolean): void {
+  /** Begins the trace of a handover when this controller is assigned the shard, and abandons it when another is. */
+  #traceAssignment(shard: number, isAssigned: boolean): void {
     if (!this.context.suspicion) return;
     if (!isAssigned) {
       this.#handovers.get(shard)?.abandon();
@@ -117,7 +117,7 @@
     }
   }
 
-  /** Acquires the lease and draws a fencing token in one transaction. */
+  /** Acquires the lease and a new fencing token in one transaction. */
   async #acquire(shard: number, record: ShardRecord, sessionLease: number): Promise<AcquisitionOutcome> {
     const { controllerId, cache, session, store, clock, log } = this.context;
     const fencingToken = (read.fencingToken(cache.get(KEY.fencingToken)?.value)?.next ?? 0) + 1;
@@ -129,8 +129,8 @@
     const result = await store.compareAndSwap(this.#acquisitionConditions(shard), changes, 'urgent');
     if (!result.ok) return 'refused';
     const { revision } = result;
-    // The owner starts from a copy of the records that holds everything the previous owner could have acted on.
-    while (cache.revision < revision && session.isValid) await clock.sleep(VIEW_POLL_MS);
+    // Before the owner starts, the watch cache has to include every record that the previous owner could have acted on.
+    while (cache.revision < revision && session.isValid) await clock.sleep(CACHE_POLL_MS);
     if (!session.isValid || read.lease(cache.get(KEY.lease(shard))?.value)?.owner !== controllerId) {
       log.warn({ shard }, 'shard lease lost during acquisition');
       return 'lost';
@@ -172,9 +172,9 @@
   }
 
   /**
-   * A previous process of this controller may have granted a lease extension, and so must not acquire a shard. Not if
-   * this controller itself held the shard last, or no controller ever held one: then no grant can concern it, and the
-   * leases of the workers are running out.
+   * Whether this controller may acquire the shard. Lease extensions that it, or a previous process of it, may have
+   * granted forbid it for some time. They can't concern a shard that this controller held last, or any shard if none
+   * was ever held: it is acquired at once, because the leases of its workers are running out.
    */
   #mayAcquire({ holder }: ShardRecord): boolean {
     const { cache, controllerId } = this.context;
--- a/src/coordination/ownership/shard-assignment.ts
+++ b/src/coordination/ownership/shard-assignment.ts
@@ -1,4 +1,4 @@
-/** @file Assignment of shards to live controllers, and their rebalancing; the leader's duty. */
+/** @file Assignment of shards to live controllers, and rebalancing; the leader's duty. */
 import { eventOfChange } from '../../bookkeeping/change-events';
 import { KEY, read, type ShardRecord } from '../../bookkeeping/records';
 import { shardCount } from '../../bookkeeping/shard-count';
@@ -6,19 +6,19 @@
 import type { ControllerContext } from '../controller-context';
 import { liveControllers, rankOwners } from './owner-candidates';
 
-/** Rebalancing moves a shard only between controllers whose numbers of shards differ by at least this much. */
+/** Rebalancing moves a shard only between controllers whose shard counts differ by at least this number. */
 const MIN_IMBALANCE = 2;
 
-/** What the records ask for: a shard that goes back to its last owner at once, or the shards that need an owner. */
+/** What to do in a step: return one shard to its last holder at once, or assign the shards that need an owner. */
 type AssignmentPlan =
   | { readonly kind: 'return to holder'; readonly shard: number; readonly holder: string }
   | { readonly kind: 'assign'; readonly unassigned: readonly number[] };
 
-/** Names an owner for each shard that lacks one, and evens out the numbers of shards. */
+/** Assigns an owner to each shard that has none, and balances the number of shards per controller. */
 export class ShardAssignment {
   /**
-   * `leadershipCondition` proves inside a transaction that this controller leads, `mayBeBoundByGrant` tells whether this
-   * process began so recently that a lease extension granted by a previous one may still bind it.
+   * `leadershipCondition` makes a transaction fail unless this controller is the leader. `mayBeBoundByGrant` tells
+   * whether this process began so recently that a lease extension granted by a previous one may still be valid.
    */
   constructor(
     private readonly context: ControllerContext,
@@ -45,7 +45,7 @@
     await this.#rebalance(shardCounts);
   }
 
-  /** Counts the shards that stay where they are into `shardCounts`, and finds those to be assigned. */
+  /** Adds the shards that keep their owner to `shardCounts`, and finds those to be assigned. */
   #plan(shardCounts: Map<string, number>): AssignmentPlan {
     const { cache, settings } = this.context;
     const unassigned: number[] = [];
@@ -65,9 +65,8 @@
   }
 
   /**
-   * Whether the controller that a shard was assigned to is suspected before it has acquired it. Another may then be
-   * chosen at once, since no controller holds the lease: whichever acquires it first finds the record unchanged, or
-   * doesn't.
+   * Whether the assigned owner is suspected before it has acquired the shard. Another controller may then be assigned
+   * at once: no controller holds the lease, and an acquisition by the suspect fails if the shard's record has changed.
    */
   #isAssignmentStuck(shard: number, { owner }: ShardRecord): boolean {
     const { suspicion, cache, controllerId } = this.context;
@@ -76,8 +75,8 @@
   }
 
   /**
-   * After a restart of all controllers the one that held the shard last may acquire it at once, while the others are
-   * bound for some time by grants that they may have given.
+   * Whether to assign the shard to its last holder. After a restart of all controllers the last holder may acquire it
+   * at once, while lease extensions that the others may have granted forbid them to acquire it for some time.
    */
   #shouldReturnToHolder(
     record: ShardRecord,
@@ -91,7 +90,7 @@
     return this.context.cache.get(KEY.lease(shard)) === undefined;
   }
 
-  /** After a failover one controller may have more shards than another that has restarted: moves one shard a step. */
+  /** Moves one shard per step to a controller with fewer shards, for example to one that restarted after a failover. */
   async #rebalance(shardCounts: ReadonlyMap<string, number>): Promise<void> {
     const { cache, settings, suspicion } = this.context;
     const byCount = [...shardCounts].sort((a, b) => a[1] - b[1]);
--- a/src/coordination/ownership/shard-handover.ts
+++ b/src/coordination/ownership/shard-handover.ts
@@ -7,12 +7,12 @@
 import { ownerCandidates, shardCountByController } from './owner-candidates';
 
 const DRAIN_POLL_MS = 20;
-/** How long commands in flight may hold up an orderly handover. */
-const DRAIN_MS = 500;
+/** How long a planned handover waits for the responses to commands in flight. */
+const DRAIN_TIMEOUT_MS = 500;
 
 /**
  * Hands shards over to a successor that serves them better than this controller. The owner stops first; then one
- * transaction names the successor and deletes the lease, so that the successor doesn't wait for its expiry.
+ * transaction assigns the successor and deletes the lease, so that the successor doesn't wait for the lease's expiry.
  */
 export class ShardHandover {
   constructor(
@@ -20,7 +20,7 @@
     private readonly reachability: PeerReachability,
   ) {}
 
-  /** Hands the shard over if most of its workers don't reach this controller and do reach another one. */
+  /** Hands the shard over if most of its workers don't reach this controller, but do reach another one. */
   async handOverIfUnreachable(owner: ShardOwner): Promise<void> {
     const { shard } = owner;
     const { machines, unreachable } = owner.workerReachability();
@@ -35,9 +35,9 @@
   }
 
   /**
-   * Hands the shard over if this controller is slow, or most peers don't receive its heartbeats: it stops, waits for the
-   * responses to commands in flight, and names the successor in the transaction that deletes the lease. That takes well
-   * under the time of a lease, whose expiry the others would have to wait for.
+   * Hands the shard over if this controller is slow, or most peers don't receive its heartbeats: it stops the owner,
+   * waits for the responses to commands in flight, and assigns the successor in the transaction that deletes the lease.
+   * That takes far less time than a lease, for whose expiry the peers would otherwise have to wait.
    */
   async handOverIfPlanned(owner: ShardOwner): Promise<void> {
     const { suspicion, log } = this.context;
@@ -56,23 +56,23 @@
     handover.reached('successor named', { successor });
   }
 
-  /** Waits for the responses to commands in flight. The successor settles those that are still missing then. */
+  /** Waits for the responses to commands in flight. The successor resolves the attempts of unanswered ones. */
   async #drain(owner: ShardOwner): Promise<void> {
     const { clock, session } = this.context;
-    const until = clock.now() + DRAIN_MS;
+    const until = clock.now() + DRAIN_TIMEOUT_MS;
     while (owner.commandsInFlight > 0 && clock.now() < until && session.isValid) {
       await clock.sleep(DRAIN_POLL_MS);
     }
   }
 
-  /** One transaction names the successor and deletes the lease; the owner has stopped before. */
+  /** Assigns the successor and deletes the lease in one transaction; the owner must have stopped before. */
   async #nameSuccessor(owner: ShardOwner, successor: string): Promise<void> {
     const { store, cache, controllerId } = this.context;
     const key = KEY.shard(owner.shard);
     const record = this.#record(owner.shard);
     if (!record) return;
     const deletion = { delete: KEY.lease(owner.shard) };
-    // The leader may have assigned the shard to another controller meanwhile: that assignment stands.
+    // The leader may have assigned the shard to another controller meanwhile; that assignment is kept.
     const isAssignedHere = record.owner === controllerId;
     const changes = isAssignedHere
       ? [{ put: key, value: { ...record, owner: successor } }, deletion]
--- a/src/coordination/shard/completion-recorder.ts
+++ b/src/coordination/shard/completion-recorder.ts
@@ -8,41 +8,41 @@
 import type { ControllerContext } from '../controller-context';
 import type { DispatchTable } from './dispatch-table';
 
-/** What the recorder needs of the shard. */
+/** The part of a shard's owner that the recorder uses. */
 export interface RecorderShard {
   readonly tables: ReadonlyMap<string, DispatchTable>;
   readonly entitled: boolean;
-  /** The condition that proves, inside every transaction, that we still own the shard. */
+  /** The condition by which a transaction succeeds only while this owner still holds the shard's lease. */
   leaseCondition(): Condition;
-  /** The job is over: done or cancelled. */
+  /** The job has ended: it is done or cancelled. */
   closeJob(id: string): void;
-  /** Recorded completions may now be forgotten by their workers. */
+  /** Completions were recorded, so their workers can be told to forget them. */
   onCompletionsRecorded(): void;
 }
 
-/** What a transaction writes for one job. */
+/** The part of a transaction that concerns one job. */
 interface JobWrite {
   readonly table: DispatchTable;
-  /** The completions that it covers. */
+  /** Tasks whose completions it records. */
   readonly tasks: readonly number[];
   /** Keys of the completion records that it writes or deletes. */
   readonly recordKeys: readonly string[];
-  /** The final state that is written with the last completions. */
+  /** The final state, which is written with the last completions. */
   readonly final: FinalRecord | undefined;
   readonly conditions: readonly Condition[];
   readonly changes: readonly Change[];
 }
 
-/** Room for the rest of a transaction's body beside its values. */
+/** Leaves space in a transaction's request body for what is sent beside the values. */
 const MAX_VALUE_BYTES = 40 * 1024;
-const WAIT_MS = 1_000;
+const MAX_WAIT_MS = 1_000;
 const PAUSE_AFTER_FAILURE_MS = 400;
-/** For completions of the same moment to go out together. */
-const GATHER_MS = 30;
-/** Part of the limit on changes, all controllers together, that bitmaps of unfinished jobs may take. */
-const BITMAPS_PART = 0.25;
+/** Delay before a write, so that it includes the completions of the same moment. */
+const BATCHING_DELAY_MS = 30;
+/** Fraction of the write limit of all controllers together that bitmaps of unfinished jobs may use. */
+const BITMAP_WRITE_FRACTION = 0.25;
 
-/** The writes of one transaction, as far as they fit. */
+/** Collects the writes of one transaction up to its size limits. */
 class Batch {
   readonly writes: JobWrite[] = [];
   #changes = 0;
@@ -50,12 +50,12 @@
 
   constructor(private readonly maxChanges: number) {}
 
-  /** False: it does not fit beside the others, and is not added. The first one always is. */
+  /** Adds a write. The first is always added; another that exceeds a limit is not, and the result is false. */
   add(write: JobWrite): boolean {
     const changes = this.#changes + write.changes.length;
     const bytes = this.#bytes + totalValueBytes(write.changes);
-    const isTooMuch = changes > this.maxChanges || bytes > MAX_VALUE_BYTES;
-    if (this.writes.length > 0 && isTooMuch) return false;
+    const exceedsLimit = changes > this.maxChanges || bytes > MAX_VALUE_BYTES;
+    if (this.writes.length > 0 && exceedsLimit) return false;
     this.writes.push(write);
     this.#changes = changes;
     this.#bytes = bytes;
@@ -69,20 +69,20 @@
 
 /** Writes completions to the key-value store in batches: one transaction covers many jobs. */
 export class CompletionRecorder {
-  #bitmapsAt = -Infinity;
+  #bitmapsWrittenAt = -Infinity;
 
   constructor(
     private readonly shard: RecorderShard,
     private readonly context: ControllerContext,
-    /** Is woken when a task completed. */
+    /** Wakes the recorder when a task has completed. */
     private readonly completions: WakeSignal,
   ) {}
 
   /** One step; to be run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
     const { clock } = this.context;
-    await this.completions.wait(WAIT_MS);
-    await clock.sleep(GATHER_MS, signal);
+    await this.completions.wait(MAX_WAIT_MS);
+    await clock.sleep(BATCHING_DELAY_MS, signal);
     if (signal.aborted || !this.shard.entitled) return;
     const writes = this.#collect(clock.now());
     if (writes.length > 0 && !(await this.#write(writes))) {
@@ -91,7 +91,7 @@
     this.#wakeForMore();
   }
 
-  /** What is complete goes out at once; the rest when its time has come. */
+  /** Starts the next step at once if a completed job is not yet recorded. Unfinished jobs wait for their interval. */
   #wakeForMore(): void {
     for (const table of this.shard.tables.values()) {
       if (table.unrecorded.size > 0 && table.remaining === 0) {
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Jobs that are complete come first: their users wait for them. Bitmaps of the others go out at a pace that leaves
-   * most of the limit on changes to what users ask for, those that have waited longest first.
+   * Collects the next writes. Completed jobs come first, because their users wait for them. Bitmaps of unfinished jobs
+   * follow at a rate that leaves most of the write limit to user requests, the least recently written job first.
    */
   #collect(now: number): readonly JobWrite[] {
     const unrecorded = [...this.shard.tables.values()].filter((table) => table.unrecorded.size > 0);
@@ -122,36 +122,36 @@
     return batch.writes;
   }
 
-  /** The jobs whose bitmaps may be written now. */
+  /** Unfinished jobs whose bitmaps may be written now; none until `flush_ms` have passed since the last ones. */
   #unfinishedDue(unrecorded: readonly DispatchTable[], now: number): DispatchTable[] {
-    if (now - this.#bitmapsAt < this.context.settings.operator.flush_ms) return [];
+    if (now - this.#bitmapsWrittenAt < this.context.settings.operator.flush_ms) return [];
     const unfinished = unrecorded.filter((table) => table.remaining > 0);
     unfinished.sort((a, b) => a.lastWriteAttemptAt - b.lastWriteAttemptAt);
-    if (unfinished.length > 0) this.#bitmapsAt = now;
+    if (unfinished.length > 0) this.#bitmapsWrittenAt = now;
     return unfinished;
   }
 
-  /** How many bitmaps may be written at once. */
+  /** Maximum number of bitmaps in one transaction. */
   #maxBitmaps(): number {
     const { cache, settings } = this.context;
     const { write_rps } = settings.platform.deployment.state;
-    const bitmapsPerSecond = (write_rps * BITMAPS_PART) / shardCount(cache, settings);
+    const bitmapsPerSecond = (write_rps * BITMAP_WRITE_FRACTION) / shardCount(cache, settings);
     return Math.max(1, Math.floor(bitmapsPerSecond * (settings.operator.flush_ms / 1000)));
   }
 
   #finalWrite(table: DispatchTable): JobWrite {
     const { id, tasks } = table.job;
     const final = this.context.jobs.finalRecord('done', tasks);
-    // The last completions and the final state are one write, guarded on the record that a cancellation deletes.
+    // The last completions and the final state are one write. It fails if a cancellation has deleted the job's record.
     const conditions: Condition[] = [
       { key: KEY.job(id), version: table.version },
       { key: KEY.final(id), version: 0 },
     ];
     const changes: Change[] = [{ put: KEY.final(id), value: final }, { delete: KEY.job(id) }];
-    // What doesn't fit is left to the leader, which deletes completions of jobs that are over.
+    // The leader's garbage collector deletes the completion records that exceed the limit of this transaction.
     const { state } = this.context.settings.platform.deployment;
-    const room = Math.max(0, changesAtOnce(state) - changes.length);
-    const deleted = [...table.recordVersions].slice(0, room);
+    const maxDeletions = Math.max(0, changesAtOnce(state) - changes.length);
+    const deleted = [...table.recordVersions].slice(0, maxDeletions);
     for (const [key, version] of deleted) {
       conditions.push({ key, version });
       changes.push({ delete: key });
@@ -167,14 +167,14 @@
     };
   }
 
-  /** Records completions in at most so many records, those first whose completions have waited longest. */
+  /** Writes at most `maxRecords` completion records, those with the oldest unrecorded completions first. */
   #bitmapWrite(table: DispatchTable, maxRecords: number): JobWrite {
     const { job } = table;
     const { state } = this.context.settings.platform.deployment;
     const bytes = valueBytes(state);
-    const fitting = Math.max(1, Math.floor(MAX_VALUE_BYTES / bytes));
+    const maxRecordsBySize = Math.max(1, Math.floor(MAX_VALUE_BYTES / bytes));
     const layout = completionLayout(job, bytes, this.context.formatGate.isOpen);
-    const recordCount = Math.min(changesAtOnce(state, maxRecords), fitting);
+    const recordCount = Math.min(changesAtOnce(state, maxRecords), maxRecordsBySize);
     const groups = groupByRecord(job, table.unrecorded, layout).slice(0, recordCount);
     const conditions: Condition[] = [{ key: KEY.job(job.id), version: table.version }];
     const changes: Change[] = [];
@@ -194,7 +194,7 @@
     };
   }
 
-  /** False: a condition failed, and nothing was written. */
+  /** Returns false if a condition failed and nothing was written. */
   async #write(writes: readonly JobWrite[]): Promise<boolean> {
     const result = await this.context.store.compareAndSwap(
       [this.shard.leaseCondition(), ...writes.flatMap(({ conditions }) => conditions)],
@@ -204,12 +204,12 @@
       await this.#resolveConflicts(writes, new Set(result.failed));
       return false;
     }
-    for (const write of writes) this.#written(write, result.revision);
+    for (const write of writes) this.#onWritten(write, result.revision);
     this.shard.onCompletionsRecorded();
     return true;
   }
 
-  #written({ table, tasks, recordKeys, final }: JobWrite, revision: number): void {
+  #onWritten({ table, tasks, recordKeys, final }: JobWrite, revision: number): void {
     if (!final) {
       for (const key of recordKeys) table.recordVersions.set(key, revision);
       table.markRecorded(tasks);
@@ -223,8 +223,8 @@
   }
 
   /**
-   * A condition failed: a job was cancelled, or an earlier write of ours without an answer was applied after all.
-   * What is there is read again and merged.
+   * Handles failed conditions: a job was cancelled, or an earlier write of this owner was applied although it got no
+   * response. Reads the stored records and merges them.
    */
   async #resolveConflicts(writes: readonly JobWrite[], failedKeys: ReadonlySet<string>): Promise<void> {
     for (const { table, recordKeys } of writes) {
--- a/src/coordination/shard/dispatch-table.ts
+++ b/src/coordination/shard/dispatch-table.ts
@@ -9,7 +9,7 @@
 const ISSUED = 1;
 const DONE = 2;
 
-/** The attempt that an issued task is on. */
+/** The attempt to which an issued task is assigned. */
 export interface IssuedAttempt {
   readonly machine: string;
   readonly key: string;
@@ -21,13 +21,13 @@
  */
 export class DispatchTable {
   readonly submittedAt: number;
-  /** What the key-value store has acknowledged. */
+  /** Tasks whose completion the key-value store has acknowledged. */
   readonly recorded: Bitmap;
   /** Versions of the job's completion records in the key-value store, by their keys. */
   readonly recordVersions = new Map<string, number>();
-  /** Done by a worker's word, not yet recorded. */
+  /** Tasks that a worker reported as done, but that are not yet recorded. */
   readonly unrecorded = new Set<number>();
-  /** The attempt that each issued task is on. */
+  /** The attempt of each issued task. */
   readonly issued = new Map<number, IssuedAttempt>();
   readonly #ownPriority: Priority;
   readonly #states: Uint8Array;
@@ -38,8 +38,8 @@
   #retryAt = 0;
   #lastWriteAttemptAt = -Infinity;
   #unassigned: number;
-  /** No task below this one is unassigned. */
-  #lowest = 0;
+  /** Where `nextUnassigned` starts to search: no task below is unassigned. */
+  #searchFrom = 0;
 
   constructor(
     record: JobRecord,
@@ -59,35 +59,35 @@
 
   // The job.
 
-  /** The job as it is scheduled: with the highest priority of all that depend on it. */
+  /** The job with its effective priority: the highest of its own and those of the jobs that depend on it. */
   get job(): Job {
     return this.#job;
   }
 
-  /** The highest priority of the jobs that depend on this one; undefined where there are none any more. */
+  /** Sets the highest priority of the jobs that depend on this one; undefined if none depends on it any more. */
   setChainPriority(priority: Priority | undefined): void {
     const isHigher = priority !== undefined && PRIORITY_RANK[priority] < PRIORITY_RANK[this.#ownPriority];
     const effective = isHigher ? priority : this.#ownPriority;
     if (effective !== this.#job.priority) this.#job = { ...this.#job, priority: effective };
   }
 
-  /** Whether all that the job depends on is done; once true it stays true. */
+  /** Whether all dependencies of the job are done; once true it stays true. */
   get isReady(): boolean {
     return this.#isReady;
   }
 
-  /** Time of day from which on the job waits for machines only: its submission, or the end of its last dependency. */
+  /** Time of day when the job began to wait for machines only: its submission, or the end of its last dependency. */
   get waitingSince(): number {
     return this.#waitingSince;
   }
 
-  /** All that the job depends on is done; the last of it ended at this time of day. */
+  /** Marks all dependencies as done; the last of them ended at this time of day. */
   becomeReady(lastDependencyEndedAt: number): void {
     this.#isReady = true;
     this.#waitingSince = Math.max(this.submittedAt, lastDependencyEndedAt);
   }
 
-  // Its tasks.
+  // Tasks.
 
   /** How many tasks are unassigned. */
   get unassigned(): number {
@@ -108,7 +108,7 @@
     return this.#states[task] === DONE;
   }
 
-  /** Whether the task is one of the job's, and neither issued nor done. */
+  /** Whether the task is one of the job's, and is neither issued nor done. */
   isUnassigned(task: number): boolean {
     return this.#states[task] === UNASSIGNED;
   }
@@ -116,11 +116,11 @@
   /** The first unassigned task, or -1. */
   nextUnassigned(): number {
     if (this.#unassigned === 0) return -1;
-    while (this.#states[this.#lowest] !== UNASSIGNED) this.#lowest += 1;
-    return this.#lowest;
+    while (this.#states[this.#searchFrom] !== UNASSIGNED) this.#searchFrom += 1;
+    return this.#searchFrom;
   }
 
-  /** The task is on this attempt from now on. */
+  /** Assigns an unassigned task to an attempt. */
   issue(task: number, machine: string, key: string): void {
     if (!this.isUnassigned(task)) throw new Error(`task ${task} is not unassigned`);
     this.#states[task] = ISSUED;
@@ -128,18 +128,18 @@
     this.issued.set(task, { machine, key });
   }
 
-  /** The attempt is gone without a completion. True: its task is unassigned again. */
+  /** Handles an attempt that ended without a completion. Returns true if its task is unassigned again. */
   markLost(task: number, key: string): boolean {
     if (this.issued.get(task)?.key !== key) return false;
     this.issued.delete(task);
     if (this.#states[task] !== ISSUED) return false;
     this.#states[task] = UNASSIGNED;
     this.#unassigned += 1;
-    this.#lowest = Math.min(this.#lowest, task);
+    this.#searchFrom = Math.min(this.#searchFrom, task);
     return true;
   }
 
-  /** The first completion counts. False: the task was done before, and this one is discarded. */
+  /** Marks the task as done. Returns false for a repeated completion, which is discarded. */
   complete(task: number): boolean {
     if (task >= this.#job.tasks || this.isDone(task)) return false;
     this.#setDone(task);
@@ -153,19 +153,19 @@
     this.issued.delete(task);
   }
 
-  // Its completion records.
+  // Completion records.
 
-  /** When its completions were last written, or were to be. */
+  /** When a write of the job's completions was last attempted, successfully or not. */
   get lastWriteAttemptAt(): number {
     return this.#lastWriteAttemptAt;
   }
 
-  /** Its completions are about to be written. */
+  /** A write of the job's completions begins. */
   onWriteAttempt(now: number): void {
     this.#lastWriteAttemptAt = now;
   }
 
-  /** Takes in a completion record that the key-value store has. */
+  /** Marks the tasks of a stored completion record as done, unless a newer version was merged before. */
   mergeRecorded(key: string, { first, bits }: StoredCompletions, version: number): void {
     if (version <= (this.recordVersions.get(key) ?? 0)) return;
     this.recordVersions.set(key, version);
@@ -175,7 +175,7 @@
     }
   }
 
-  /** The key-value store has acknowledged these completions. */
+  /** Marks completions as recorded, after the key-value store has acknowledged them. */
   markRecorded(tasks: readonly number[]): void {
     for (const task of tasks) {
       this.recorded.set(task);
@@ -183,19 +183,19 @@
     }
   }
 
-  /** The bits of a completion record: what is recorded of its tasks already, and these. */
+  /** The encoded bitmap of a completion record: its tasks that are already recorded, and the given ones. */
   encodeRecord({ first, end }: CompletionRecord, tasks: readonly number[]): string {
     return this.recorded.encode(first, end, tasks);
   }
 
-  // Its failures.
+  // Failures.
 
   /** No task of the job starts before this time. */
   get retryAt(): number {
     return this.#retryAt;
   }
 
-  /** No task of the job starts before this time. */
+  /** Delays all further starts of the job's tasks until this time. */
   pauseUntil(time: number): void {
     this.#retryAt = time;
   }
@@ -206,19 +206,19 @@
     this.#retryAt = 0;
   }
 
-  /** After failures on several machines the job is retried with growing pauses, until its user cancels it. */
+  /** A task failed. After failures on several machines the job is retried with growing pauses until it is cancelled. */
   onTaskFailed(machine: string, now: number): void {
     this.#failures.add(machine, now);
     const pauseMs = this.#failures.pauseMs;
     if (this.done === 0 && pauseMs > 0) this.#retryAt = now + pauseMs;
   }
 
-  /** Machines that get no task of the job now. */
+  /** Machines on which no task of the job may be started now, because one failed there recently. */
   machinesToAvoid(now: number): ReadonlySet<string> {
     return this.#failures.machinesToAvoid(now);
   }
 
-  /** Whether failures of its tasks say nothing about the machines that they ran on. */
+  /** Whether failures of its tasks are attributed to the job, and not to the machines that they ran on. */
   get isJobLikelyFaulty(): boolean {
     return this.done === 0 && this.#failures.areOnManyMachines;
   }
--- a/src/coordination/shard/job-failures.ts
+++ b/src/coordination/shard/job-failures.ts
@@ -1,20 +1,20 @@
-/** @file The tasks of one job that failed since the last one that succeeded, and what follows from them. */
+/** @file Consecutive task failures of one job: its retry pauses, and the machines that it avoids. */
 
 const FIRST_PAUSE_MS = 2_000;
 const MAX_PAUSE_MS = 60_000;
 const MAX_DOUBLINGS = 10;
-/** On so many machines a job has to fail before it is retried with pauses. */
+/** A job has to fail on this many machines before it is retried with pauses. */
 const MACHINES_TO_PAUSE_JOB = 2;
-/** A job that failed on so many machines, and succeeded on none, is assumed to be at fault itself. */
+/** A job that failed on this many machines, and has no completed task, is assumed to be faulty itself. */
 const MACHINES_TO_BLAME_JOB = 3;
 /**
- * How long a machine that failed a task of the job gets no more of it. With no end to it the job might never go on:
- * there may be no other machine.
+ * How long the job avoids a machine on which one of its tasks failed. The time is limited because there may be no other
+ * machine, and the job would never continue.
  */
-const AVOID_MS = 60_000;
+const AVOID_MACHINE_MS = 60_000;
 const NONE: ReadonlySet<string> = new Set();
 
-/** Failures of one job's tasks in a row, and the machines that they were on. */
+/** Failures of one job's tasks since its last success, and the machines that they were on. */
 export class JobFailures {
   /** When a task last failed on each machine. */
   readonly #failedAt = new Map<string, number>();
@@ -32,21 +32,23 @@
     this.#count = 0;
   }
 
-  /** How long to pause after the latest failure; 0 while a single machine may be to blame. */
+  /** How long to pause after the latest failure; 0 while all failures were on one machine, which may be faulty. */
   get pauseMs(): number {
     if (this.#failedAt.size < MACHINES_TO_PAUSE_JOB) return 0;
     const doublings = Math.min(this.#count - MACHINES_TO_PAUSE_JOB, MAX_DOUBLINGS);
     return Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2 ** doublings);
   }
 
-  /** Whether they were on so many machines that the job itself seems to be at fault, if it succeeded on none. */
+  /** Whether the failures were on so many machines that the job itself is likely faulty if it has no completed task. */
   get areOnManyMachines(): boolean {
     return this.#failedAt.size >= MACHINES_TO_BLAME_JOB;
   }
 
-  /** Machines that get no task of the job now. */
+  /** Machines on which a task of the job failed recently. */
   machinesToAvoid(now: number): ReadonlySet<string> {
     if (this.#failedAt.size === 0) return NONE;
-    return new Set([...this.#failedAt].filter(([, at]) => now - at < AVOID_MS).map(([machine]) => machine));
+    return new Set(
+      [...this.#failedAt].filter(([, at]) => now - at < AVOID_MACHINE_MS).map(([machine]) => machine),
+    );
   }
 }
--- a/src/coordination/shard/record-change-handler.ts
+++ b/src/coordination/shard/record-change-handler.ts
@@ -1,4 +1,4 @@
-/** @file Takes changes of records in the key-value store into the state of a shard. */
+/** @file Applies change events of the key-value store to the state of a shard. */
 import { KEY, PREFIX, read } from '../../bookkeeping/records';
 import type { ChangeEvent } from '../../protocol/key-value-store';
 import type { ControllerContext } from '../controller-context';
@@ -6,17 +6,17 @@
 import type { Machine } from './machine';
 import type { Shard } from './shard';
 
-/** What follows for the shard's owner from changes of records. */
+/** Receives the effects of change events on the shard's owner. */
 export interface RecordChangeListener {
-  /** The job is over: done or cancelled. */
+  /** The job has ended: it is done or cancelled. */
   closeJob(id: string): void;
-  /** The machine, and all on it, is gone. */
+  /** The machine is terminated, and with it every attempt on it. */
   onMachineTerminated(machine: Machine): void;
-  /** The shard's lease is no longer this owner's. */
+  /** This owner no longer holds the shard's lease. */
   stop(why: string): void;
 }
 
-/** Follows the records of jobs, machines, lease relays and the shard's lease. */
+/** Handles change events of job, machine and lease relay records, and of the shard's lease. */
 export class RecordChangeHandler {
   constructor(
     private readonly shard: Shard,
@@ -33,7 +33,7 @@
     } else if (key.startsWith(PREFIX.machine)) {
       this.#onMachine(event);
     } else if (key.startsWith(`${PREFIX.relay}${this.shard.number}/`)) {
-      // Up to the end of its record a relay may have answered.
+      // A relay may have renewed worker leases until its record was deleted.
       this.scheduler.assumeAllLeasesRenewed(this.context.clock.now());
     } else if (key === KEY.lease(this.shard.number)) {
       this.#onLease(event);
@@ -61,7 +61,7 @@
   #onLease(event: ChangeEvent): void {
     const { shard } = this;
     const lease = event.deleted ? undefined : read.lease(event.value);
-    // Our own raise of the token may come back here before its answer does, or instead of it.
+    // The change event of this owner's own token raise may arrive before the transaction's response, or without one.
     if (lease?.owner === this.context.controllerId && lease.token >= shard.fencingToken) {
       shard.fencingToken = lease.token;
       shard.leaseVersion = event.version;
--- a/src/coordination/shard/relay-check.ts
+++ b/src/coordination/shard/relay-check.ts
@@ -3,26 +3,26 @@
 import type { Condition } from '../../protocol/key-value-store';
 import type { ControllerContext } from '../controller-context';
 
-/** What the check needs of the shard. */
+/** The part of a shard that the check uses. */
 export interface RelayedShard {
   readonly number: number;
   readonly entitled: boolean;
   leaseCondition(): Condition;
 }
 
-/** Looks for the records that relays write before they answer. */
+/** Looks for the records that controllers write before they relay leases of the shard's workers. */
 export class RelayCheck {
   constructor(
     private readonly shard: RelayedShard,
     private readonly context: ControllerContext,
   ) {}
 
-  /** Whether any controller relays, as far as this controller's view of the records goes. */
+  /** Whether any controller relays, according to the watch cache. */
   get isRelayed(): boolean {
     return this.#recordKeys().some((key) => this.context.cache.get(key) !== undefined);
   }
 
-  /** Whether the key-value store says that no controller relays, and our view holds all that was relayed before. */
+  /** Checks that the key-value store has no relay record, and waits until the watch cache includes earlier ones. */
   async confirmNotRelayed(): Promise<boolean> {
     const { store, cache, clock } = this.context;
     const conditions = this.#recordKeys().map((key) => ({ key, version: 0 }));
--- a/src/coordination/shard/resource-usage.ts
+++ b/src/coordination/shard/resource-usage.ts
@@ -1,4 +1,4 @@
-/** @file What the attempts of a shard occupy, by team, by job and by zone. */
+/** @file Resources that the attempts of a shard occupy, by team, job and zone. */
 import type { TeamUsage } from '../scheduling/team-quota';
 import type { Attempt } from './attempt';
 import type { Machine } from './machine';
@@ -7,8 +7,8 @@
 const NO_ZONES: ReadonlyMap<string, number> = new Map();
 
 /**
- * What the attempts of a shard occupy, summed up by team, by job and zone, and indexed by job. Kept up to date as
- * attempts come and go: with a thousand machines no round or message can afford to count again.
+ * Resources that the attempts of a shard occupy: sums by team, attempt counts by job and zone, and an index by job.
+ * Updated with each attempt, because with a thousand machines a recount in each round or message would be too slow.
  */
 export class ResourceUsage implements OccupancyListener {
   readonly #teams = new Map<string, { cpus: number; gpus: number; tasks: number }>();
@@ -18,32 +18,32 @@
   #boostedTasks = 0;
   #unattributedTasks = 0;
 
-  /** How many attempts are of unknown jobs: whose limits they fill is not known until they are gone. */
+  /** Number of attempts of unknown jobs. Which team's quota they use stays unknown until they are gone. */
   get unattributedTasks(): number {
     return this.#unattributedTasks;
   }
 
-  /** CPUs of attempts that were placed out of turn. */
+  /** CPUs of attempts that were placed with a priority boost. */
   get boostedCpus(): number {
     return this.#boostedCpus;
   }
 
-  /** Attempts of a job that occupy resources, and where. */
+  /** Attempts of a job that occupy resources, with their machines. */
   attemptsOf(job: string): Iterable<[Attempt, Machine]> {
     return this.#jobs.get(job) ?? [];
   }
 
-  /** How many attempts of a job occupy resources in each zone. */
+  /** Number of attempts of a job that occupy resources, by zone. */
   zonesOf(job: string): ReadonlyMap<string, number> {
     return this.#zones.get(job) ?? NO_ZONES;
   }
 
-  /** What each team's tasks use, or may use: from before a start leaves until the attempt is known gone. */
+  /** Resources of each team's attempts, from before a start command is sent until the attempt is confirmed gone. */
   byTeam(): Map<string, TeamUsage> {
     return new Map([...this.#teams].map(([team, { cpus, gpus }]) => [team, { cpus, gpus }]));
   }
 
-  /** An attempt comes to occupy resources of the machine. */
+  /** An attempt begins to occupy resources of the machine. */
   onOccupied(machine: Machine, attempt: Attempt): void {
     this.#count(machine, attempt, 1);
     const attempts = this.#jobs.get(attempt.job) ?? new Map<Attempt, Machine>();
@@ -77,7 +77,7 @@
     sum.cpus += sign * resources.cpus;
     sum.gpus += sign * resources.gpus;
     sum.tasks += sign;
-    // Sums of decimals drift; a team without tasks uses nothing.
+    // Rounding errors could leave a remainder in the sums of a team without tasks, so its entry is deleted.
     if (sum.tasks === 0) this.#teams.delete(team);
     else this.#teams.set(team, sum);
   }
--- a/src/coordination/shard/round-loop.ts
+++ b/src/coordination/shard/round-loop.ts
@@ -1,4 +1,4 @@
-/** @file The rounds in which the owner of a shard works out what to do, and their pace. */
+/** @file Runs the scheduling rounds of a shard's owner, and limits their share of the time. */
 import type { WakeSignal } from '../../base/clock';
 import type { HandoverTrace } from '../../suspicion/handover-trace';
 import type { ControllerContext } from '../controller-context';
@@ -7,14 +7,15 @@
 import type { Shard } from './shard';
 import { summarizeShard } from './shard-summary';
 
-/** The longest time between two rounds, and the shortest between two runs of the periodic tasks. */
+/** The maximum interval between rounds, and the minimum interval between runs of the periodic tasks. */
 const TICK_MS = 250;
-const EVENTS_GATHER_MS = 4;
-/** Rounds get at most one part in so many of the time: heartbeats, commands and users need the rest. */
-const ROUND_PART = 4;
+/** Delay before a round, so that it handles events of the same moment together. */
+const EVENT_BATCHING_MS = 4;
+/** Rounds take at most 1/4 of the time: heartbeats, commands and user requests need the rest. */
+const ROUND_TIME_DIVISOR = 4;
 const SUMMARY_INTERVAL_MS = 10_000;
 
-/** The parts of a shard's owner that take part in rounds. */
+/** The components of a shard's owner that a round uses. */
 export interface RoundLoopParts {
   /** Wakes the loop when there is work for a round. */
   readonly wake: WakeSignal;
@@ -22,7 +23,7 @@
   readonly dispatcher: CommandDispatcher;
 }
 
-/** Runs rounds whenever there is work for one, as far as the time allows. */
+/** Runs a round whenever there is work, within the time limit for rounds. */
 export class RoundLoop {
   readonly #wake: WakeSignal;
   readonly #scheduler: Scheduler;
@@ -41,12 +42,12 @@
     this.#dispatcher = dispatcher;
   }
 
-  /** Reports to the trace how far the handover of the shard to this owner is. */
+  /** Sets the trace that records the progress of the shard's handover to this owner. */
   traceHandover(handover: HandoverTrace | undefined): void {
     this.#handover = handover;
   }
 
-  /** The shard is lost again: its handover is broken off, if it is not over. */
+  /** Marks an unfinished handover as abandoned, because this owner stops. */
   abandonHandover(): void {
     this.#handover?.abandon();
   }
@@ -55,7 +56,7 @@
   async step(signal: AbortSignal): Promise<void> {
     const { clock } = this.context;
     await this.#wake.wait(TICK_MS);
-    await clock.sleep(EVENTS_GATHER_MS, signal);
+    await clock.sleep(EVENT_BATCHING_MS, signal);
     if (signal.aborted || !this.shard.entitled) return;
     const now = clock.now();
     this.#runPeriodicTasks(now);
@@ -64,8 +65,8 @@
     if (this.#handover) this.#traceProgress(this.#handover, isUnfinished);
     this.#logSummary(now);
     if (isUnfinished) this.#wake.wake();
-    const pauseMs = (clock.now() - now) * (ROUND_PART - 1);
-    if (pauseMs <= EVENTS_GATHER_MS) return;
+    const pauseMs = (clock.now() - now) * (ROUND_TIME_DIVISOR - 1);
+    if (pauseMs <= EVENT_BATCHING_MS) return;
     await clock.sleep(Math.min(this.context.settings.throttling.roundPauseMs, pauseMs), signal);
   }
 
@@ -76,7 +77,7 @@
     this.#dispatcher.probe(now);
   }
 
-  /** After a round: how far the handover is. */
+  /** Records the handover steps that are reached after a round. */
   #traceProgress(handover: HandoverTrace, isRoundUnfinished: boolean): void {
     const { shard } = this;
     if (!shard.areAllMachinesConfirmed) return;
@@ -85,12 +86,12 @@
     if (handover.isOver) this.#handover = undefined;
   }
 
-  /** One line every now and then, by which an operator sees the state of the shard. */
+  /** Logs the state of the shard for operators, once per `SUMMARY_INTERVAL_MS`. */
   #logSummary(now: number): void {
     if (now - this.#summaryAt < SUMMARY_INTERVAL_MS) return;
     this.#summaryAt = now;
     const { shard } = this;
     const summary = summarizeShard(shard, this.#scheduler.unplaced, now);
-    this.context.log.info({ shard: shard.number, jobs: shard.tables.size, ...summary }, 'shard');
+    this.context.log.info({ shard: shard.number, jobs: shard.tables.size, ...summary }, 'shard summary');
   }
 }
--- a/src/coordination/shard/shard-owner.ts
+++ b/src/coordination/shard/shard-owner.ts
@@ -1,4 +1,4 @@
-/** @file The owner of one shard: its parts, their loops, and what the controller asks of it. */
+/** @file The owner of one shard: its components, their loops, and the interface that the controller uses. */
 import { WakeSignal } from '../../base/clock';
 import { runLoop } from '../../base/loop';
 import type { ChangeEvent, Condition } from '../../protocol/key-value-store';
@@ -27,8 +27,8 @@
 const LEASE_EXPIRY_INTERVAL_MS = 250;
 
 /**
- * The owner of one shard. It holds what is wanted (jobs) and what is (machines and their attempts), and works out the
- * difference in rounds. It acts only while the session is valid.
+ * The owner of one shard. It tracks the desired state (jobs) and the actual state (machines and their attempts), and
+ * reconciles them in scheduling rounds. It acts only while the controller's session is valid.
  */
 export class ShardOwner implements RecorderShard, AutoscalerShard, RecordChangeListener {
   readonly #shard: Shard;
@@ -93,7 +93,7 @@
     );
   }
 
-  /** Begins to act; `handover` traces how the shard was acquired. */
+  /** Starts the loops; `handover` traces the acquisition of the shard. */
   start(handover?: HandoverTrace): void {
     this.#rounds.traceHandover(handover);
     const { signal } = this.#stop;
@@ -119,7 +119,7 @@
     if (this.entitled) await this.#scheduler.expireLeases();
   }
 
-  /** Ends all that the owner does. */
+  /** Stops the loops of the owner; `entitled` is false from then on. */
   stop(why: string): void {
     if (this.isStopped) return;
     this.#shard.isStopped = true;
@@ -131,7 +131,7 @@
     );
   }
 
-  // The shard.
+  // State of the shard.
 
   /** The shard's number. */
   get shard(): number {
@@ -148,47 +148,47 @@
     return this.#shard.tables;
   }
 
-  /** Whether this owner has ended. */
+  /** Whether this owner has been stopped. */
   get isStopped(): boolean {
     return this.#shard.isStopped;
   }
 
-  /** Whether this controller may act for the shard at this very moment. */
+  /** Whether this owner is not stopped and the controller's session is valid, so that it may act for the shard now. */
   get entitled(): boolean {
     return this.#shard.entitled;
   }
 
-  /** The condition that proves, inside a transaction, that this controller still owns the shard. */
+  /** The condition by which a transaction succeeds only while this owner still holds the shard's lease. */
   leaseCondition(): Condition {
     return this.#shard.leaseCondition();
   }
 
-  /** Whether the machine belongs to this shard, recorded or just rented. */
+  /** Whether the machine belongs to this shard: it has a record, or was rented here and has none yet. */
   ownsMachine(machine: string): boolean {
     return this.machines.has(machine) || this.#autoscaler.isUnrecorded(machine);
   }
 
-  /** How many machines send heartbeats and wait for a record that they are up. */
+  /** Number of machines that send heartbeats, but are not yet recorded as up. */
   get pendingRegistrations(): number {
     return this.#registration.size;
   }
 
-  /** How many commands have left and are not answered. */
+  /** Number of commands sent to workers that have no response yet. */
   get commandsInFlight(): number {
     return this.#dispatcher.inFlightCount;
   }
 
-  /** How many machines should send heartbeats here, and how many of them have not for a while. */
+  /** Number of machines that are up, and how many of them have missed their heartbeats. */
   workerReachability(): { machines: number; unreachable: number } {
     return this.#shard.workerReachability(this.context.clock.now());
   }
 
-  /** What the last round found no room for, and the present state of the fleet. */
+  /** Input for scaling decisions: the tasks that the last round could not place, and the current machines. */
   scalingInput(refused: (option: InstanceOption) => boolean): ScalingInput | undefined {
     return this.#scheduler.scalingInput(refused);
   }
 
-  /** How far each job is, for display. */
+  /** Running and completed tasks of each job, for status queries. */
   progress(): JobProgress[] {
     return [...this.tables.values()].map((table) => ({
       id: table.job.id,
@@ -197,34 +197,34 @@
     }));
   }
 
-  // What happens to it.
+  // Events.
 
   /** A record changed in the key-value store. */
   onChange(event: ChangeEvent): void {
     this.#records.onChange(event);
   }
 
-  /** Takes in a heartbeat. Undecided: this controller is not entitled to answer. */
+  /** Applies a worker's heartbeat. Undecided: the worker's lease is not renewed. */
   onHeartbeat(heartbeat: WorkerHeartbeat): OwnerResponse | Promise<OwnerResponse> {
     return this.#heartbeats.onHeartbeat(heartbeat);
   }
 
-  /** The last dependencies of some jobs are done. */
+  /** All dependencies of some jobs have completed. */
   onJobsReady(): void {
     this.#wake.wake();
   }
 
-  /** The job is over: done or cancelled. */
+  /** The job has ended: it is done or cancelled. */
   closeJob(id: string): void {
     this.#attempts.closeJob(id);
   }
 
-  /** Recorded completions may now be forgotten by their workers. */
+  /** Completions were recorded, so their workers can be told to forget them. */
   onCompletionsRecorded(): void {
     this.#wake.wake();
   }
 
-  /** The cloud's list says that the machine stopped on its own. */
+  /** The cloud lists the machine as failed, though no controller terminated it. */
   onMachineFailed(id: string): void {
     const machine = this.machines.get(id);
     if (!machine || machine.drainReason === 'unresponsive') return;
@@ -232,7 +232,7 @@
     machine.drainAsUnresponsive();
   }
 
-  /** The cloud confirmed that the machine, and all on it, is gone. */
+  /** The cloud confirmed that the machine is terminated, and with it every attempt on it. */
   onMachineTerminated(machine: Machine): void {
     machine.markTerminated();
     this.#commands.delete(machine);
--- a/src/coordination/shard/shard-summary.ts
+++ b/src/coordination/shard/shard-summary.ts
@@ -1,25 +1,25 @@
-/** @file The figures of a shard that an operator sees in the log. */
+/** @file The state of a shard in figures, which is logged for operators. */
 import { occupiesResources } from './attempt';
 import type { Machine } from './machine';
 import type { Shard } from './shard';
 
-/** Machines, CPUs and waiting tasks of a shard at one moment. */
+/** Numbers of machines, CPUs and waiting tasks of a shard at one moment. */
 export interface ShardSummary {
   machines: number;
   booting: number;
-  /** Machines that are up and take no starts now. */
+  /** Machines that are up, but on which no task may be started now. */
   unusable: number;
   spot: number;
   cpus: number;
   usedCpus: number;
   runningCpus: number;
-  /** Tasks that wait for machines only. */
+  /** Unassigned tasks of jobs whose dependencies are done. */
   waiting: number;
-  /** Tasks that the last round found no room for. */
+  /** Tasks that the last round could not place. */
   unplaced: number;
 }
 
-/** Sums up a shard; `unplaced` are the tasks that the last round found no room for, by job. */
+/** Summarizes a shard; `unplaced` is the number of tasks that the last round could not place, by job. */
 export function summarizeShard(
   shard: Shard,
   unplaced: ReadonlyMap<string, number>,
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -1,4 +1,4 @@
-/** @file The state of one shard: its jobs with their tables, its machines, and the owner's right to act. */
+/** @file The state of one shard in its owner's memory: jobs with dispatch tables, machines, and the shard lease. */
 import { COMPLETION_PREFIXES, readCompletions } from '../../bookkeeping/completion-records';
 import { KEY, PREFIX, read, type MachineRecord } from '../../bookkeeping/records';
 import type { Condition } from '../../protocol/key-value-store';
@@ -13,33 +13,33 @@
 import { RunTimeEstimates } from './run-time-estimates';
 import { usageByTeam } from './team-usage';
 
-/** In this time a worker tries other controllers, a second each. */
-const TRIES_MS = 2_000;
+/** How long a worker may spend on trying other controllers, at one second for each. */
+const WORKER_RETRY_MS = 2_000;
 
-/** Under what an owner holds its shard. */
+/** A shard as its owner acquired it. */
 export interface AcquiredShard {
   /** The shard's number. */
   readonly number: number;
   readonly teams: readonly string[];
-  /** The fencing token that was drawn with the lease. */
+  /** The fencing token that the acquiring transaction issued. */
   readonly fencingToken: number;
   /** The version of the shard's lease, for the conditions of transactions. */
   readonly leaseVersion: number;
-  /** The revision at which it was acquired. */
+  /** The store revision of the transaction that acquired the lease. */
   readonly acquiredRevision: number;
 }
 
-/** Bounds on how long a shard's workers may be silent, in milliseconds. */
+/** Timeouts for workers that send no heartbeats, in milliseconds. */
 interface WorkerTiming {
   readonly heartbeatTimeoutMs: number;
   readonly unresponsiveReleaseMs: number;
   readonly leaseMs: number;
 }
 
-/** What a shard's owner knows: jobs with their tables, machines with what they hold, and its right to act. */
+/** What a shard's owner keeps in memory: jobs with dispatch tables, machines with attempts, and the shard lease. */
 export class Shard {
   readonly number: number;
-  /** Rises when it is raised; see `FencingTokenRaiser`. */
+  /** Increases during the ownership; see `FencingTokenRaiser`. */
   fencingToken: number;
   leaseVersion: number;
   readonly acquiredRevision: number;
@@ -50,7 +50,7 @@
   readonly teams: ReadonlyMap<string, TeamQuota>;
   readonly timing: WorkerTiming;
   isStopped = false;
-  /** A command ended without showing what became of a start that it carried. */
+  /** Whether a start command may have ended without a response, so that its attempt is unconfirmed. */
   hasUnconfirmedStarts = false;
   readonly #confirmation: MachineConfirmation;
   readonly #jobTiming: JobTiming;
@@ -60,7 +60,7 @@
   constructor(
     acquired: AcquiredShard,
     private readonly context: ControllerContext,
-    /** There is work for a round. */
+    /** Requests a scheduling round. */
     readonly wake: () => void,
   ) {
     this.number = acquired.number;
@@ -73,12 +73,12 @@
       platform.deployment.teams.filter((t) => acquired.teams.includes(t.name)).map((t) => [t.name, t]),
     );
     this.timing = {
-      // A heartbeat may come a quarter late, and takes a while to get here.
+      // A heartbeat may be late by a quarter of its interval, and 300 ms allow for its delivery.
       heartbeatTimeoutMs: operator.missed_reports * report_s * 1250 + 300,
       unresponsiveReleaseMs: (operator.silent_release_s ?? Math.max(4, 4 * report_s)) * 1000,
       leaseMs: lease_s * 1000,
     };
-    this.#confirmation = new MachineConfirmation(context.clock.now(), report_s * 1250 + TRIES_MS);
+    this.#confirmation = new MachineConfirmation(context.clock.now(), report_s * 1250 + WORKER_RETRY_MS);
     this.#jobTiming = new JobTiming(context, this.runTimes);
     this.#relayCheck = new RelayCheck(this, context);
     this.#loadRecords();
@@ -93,37 +93,37 @@
     for (const entry of cache.under(PREFIX.machine)) this.loadMachine(entry.key, entry.value);
   }
 
-  // The right to act.
+  // The shard lease.
 
-  /** Whether this controller may act for the shard at this very moment. */
+  /** Whether the owner is not stopped and the controller's session is valid, so that it may act for the shard now. */
   get entitled(): boolean {
     return !this.isStopped && this.context.session.isValid;
   }
 
-  /** The condition that proves, inside a transaction, that this controller still owns the shard. */
+  /** The condition by which a transaction succeeds only while this owner still holds the shard's lease. */
   leaseCondition(): Condition {
     return { key: KEY.lease(this.number), version: this.leaseVersion };
   }
 
-  /** The next number of an attempt within a fencing token. */
+  /** The next attempt counter; combined with the fencing token it gives a unique attempt number. */
   nextAttemptCounter(): number {
     this.#attemptCounter += 1;
     return this.#attemptCounter;
   }
 
-  /** Whether any controller relays leases of this shard's workers, as far as our view goes. */
+  /** Whether, according to the watch cache, any controller relays leases of this shard's workers. */
   get isRelayed(): boolean {
     return this.#relayCheck.isRelayed;
   }
 
-  /** Whether the key-value store says that no controller relays, and our view holds all that was relayed before. */
+  /** Whether the key-value store confirms that no controller relays worker leases; see `RelayCheck`. */
   confirmNotRelayed(): Promise<boolean> {
     return this.#relayCheck.confirmNotRelayed();
   }
 
   // Jobs.
 
-  /** Takes in the record of a job, if the job belongs to this shard and is not known yet. */
+  /** Adds the job of this record, if it belongs to this shard and is not known yet. */
   loadJob(value: unknown, version: number): void {
     const record = read.job(value);
     if (!record || !this.teams.has(record.job.team) || this.tables.has(record.job.id)) return;
@@ -135,7 +135,7 @@
     if (stored) this.tables.get(stored.job)?.mergeRecorded(key, stored, version);
   }
 
-  /** Whether all that the job needs is done, by the key-value store's word. */
+  /** Whether all dependencies of the job are recorded as done. */
   areDependenciesDone(table: DispatchTable): boolean {
     if (table.isReady) return true;
     const { dependencies } = this.context;
@@ -145,34 +145,34 @@
     return true;
   }
 
-  /** Takes in what has become known of the jobs that depend on this one. */
+  /** Updates the job's priority from those of the jobs that depend on it. */
   updatePriority(table: DispatchTable): void {
     table.setChainPriority(this.context.chainUrgency.of(table.job.id)?.priority);
   }
 
-  /** How long the job has waited for machines. */
+  /** How long the job has been waiting for machines. */
   waitedMs(table: DispatchTable): number {
     return this.#jobTiming.waitedMs(table);
   }
 
-  /** How long the job's tasks can still wait and be in time, as far as estimates tell. */
+  /** How long the job's tasks can still wait without missing its due time, by estimated run times. */
   slackMs(table: DispatchTable): number {
     return this.#jobTiming.slackMs(table);
   }
 
-  /** How long a job that has tasks waiting can still wait and start in time; undefined when it no longer can. */
+  /** Time left until the job misses its next wait objective; undefined if none is left. */
   startSlackMs(table: DispatchTable): number | undefined {
     return this.#jobTiming.startSlackMs(table);
   }
 
-  /** What each team's tasks use, or may use: from before a start leaves until the attempt is known gone. */
+  /** Resources that each team's attempts occupy or may occupy, including unconfirmed machines. */
   usageByTeam(): Map<string, TeamUsage> {
     return usageByTeam(this, this.context);
   }
 
   // Machines.
 
-  /** Takes in the record of a machine, if the machine belongs to this shard and is not known yet. */
+  /** Adds the machine of this record, if it belongs to this shard and is not known yet. */
   loadMachine(key: string, value: unknown): void {
     const id = key.slice(PREFIX.machine.length);
     if (this.machines.has(id)) return;
@@ -197,22 +197,22 @@
     this.#confirmation.add(machine);
   }
 
-  /** Machines that an earlier owner's starts may still reach: no message of theirs has shown the owner's token. */
+  /** Machines that have not shown this owner's token: an earlier owner's start commands may still take effect there. */
   get unconfirmedMachines(): ReadonlySet<Machine> {
     return this.#confirmation.unconfirmed;
   }
 
-  /** Every machine of the shard is confirmed: it showed the owner's token, or its lease from before has expired. */
+  /** Whether all machines are confirmed (token shown, or earlier lease expired) and the teams of all attempts known. */
   get areAllMachinesConfirmed(): boolean {
     return this.unconfirmedMachines.size === 0 && this.usage.unattributedTasks === 0;
   }
 
-  /** Nothing that an earlier owner sent can still start on the machine. */
+  /** Records that no start command of an earlier owner can take effect on the machine any more. */
   confirm(machine: Machine): void {
     this.#confirmation.confirm(machine, this.context.clock.now());
   }
 
-  /** Whether the shard was acquired just now, and the workers of a large fleet are on their way here. */
+  /** Whether the shard was just acquired and many of its workers have not sent a heartbeat to this owner yet. */
   isAwaitingWorkers(now: number): boolean {
     return this.#confirmation.isAwaitingWorkers(now);
   }
@@ -222,11 +222,11 @@
     return machine.isSchedulable(now, this.timing.leaseMs, this.timing.heartbeatTimeoutMs);
   }
 
-  /** How many machines should send heartbeats here, and how many of them have not for a while. */
+  /** Number of machines that are up, and how many of them have missed their heartbeats. */
   workerReachability(now: number): { machines: number; unreachable: number } {
     const { heartbeatTimeoutMs } = this.timing;
-    const reporting = [...this.machines.values()].filter((machine) => machine.isUp && !machine.isTerminated);
-    const unreachable = reporting.filter((machine) => machine.hasMissedHeartbeats(now, heartbeatTimeoutMs));
-    return { machines: reporting.length, unreachable: unreachable.length };
+    const upMachines = [...this.machines.values()].filter((machine) => machine.isUp && !machine.isTerminated);
+    const unreachable = upMachines.filter((machine) => machine.hasMissedHeartbeats(now, heartbeatTimeoutMs));
+    return { machines: upMachines.length, unreachable: unreachable.length };
   }
 }
--- a/src/coordination/shard/team-usage.ts
+++ b/src/coordination/shard/team-usage.ts
@@ -1,32 +1,32 @@
-/** @file What the teams of a shard use, machines included whose tasks are not known yet. */
+/** @file Resources that the teams of a shard use, including machines whose attempts are not known yet. */
 import type { ControllerContext } from '../controller-context';
 import type { TeamUsage } from '../scheduling/team-quota';
 import { occupiesResources } from './attempt';
 import type { Machine } from './machine';
 import type { Shard } from './shard';
 
-const NOTHING: TeamUsage = { cpus: 0, gpus: 0 };
+const NO_USAGE: TeamUsage = { cpus: 0, gpus: 0 };
 const UNLIMITED: TeamUsage = { cpus: Infinity, gpus: Infinity };
 
-/** What each team's tasks use, or may use: from before a start leaves until the attempt is known gone. */
+/** Resources that each team's attempts occupy, plus an upper bound for those on machines that are not accounted for. */
 export function usageByTeam(shard: Shard, context: ControllerContext): Map<string, TeamUsage> {
   const usage = shard.usage.byTeam();
   if (shard.areAllMachinesConfirmed) return usage;
-  const unseen = unaccountedResources(shard);
-  const bounds = maxUnseenUsage(shard, context);
+  const unaccounted = unaccountedResources(shard);
+  const bounds = maxUnaccountedUsage(shard, context);
   for (const name of shard.teams.keys()) {
-    const seen = usage.get(name) ?? NOTHING;
-    // What can't be seen yet may all belong to any one team, as far as it has tasks that can't be seen.
-    const bound = bounds ? (bounds.get(name) ?? NOTHING) : UNLIMITED;
+    const known = usage.get(name) ?? NO_USAGE;
+    // The unaccounted resources may all be used by one team, up to the limit of its unaccounted tasks.
+    const bound = bounds ? (bounds.get(name) ?? NO_USAGE) : UNLIMITED;
     usage.set(name, {
-      cpus: seen.cpus + Math.min(unseen.cpus, bound.cpus),
-      gpus: seen.gpus + Math.min(unseen.gpus, bound.gpus),
+      cpus: known.cpus + Math.min(unaccounted.cpus, bound.cpus),
+      gpus: known.gpus + Math.min(unaccounted.gpus, bound.gpus),
     });
   }
   return usage;
 }
 
-/** The resources of machines on which not all tasks are known, or not whose they are. */
+/** Resources of the machines that may run unknown attempts, or attempts whose team is unknown. */
 function unaccountedResources(shard: Shard): TeamUsage {
   const machines = shard.usage.unattributedTasks > 0 ? shard.machines.values() : shard.unconfirmedMachines;
   let cpus = 0;
@@ -41,26 +41,26 @@
 
 function isAccountedFor(machine: Machine): boolean {
   if (!machine.isConfirmed) return false;
-  // A task of a job that is over, found after a failover: whose limit it fills is not known until it is gone.
+  // An attempt without a team was found after a failover and its job has ended: which team's quota it uses is unknown.
   for (const attempt of machine.attempts.values())
     if (attempt.team === '' && occupiesResources(attempt)) return false;
   return true;
 }
 
 /**
- * The most that each team's tasks can use on machines that are not confirmed yet: those of its jobs from before the shard
- * was acquired that were not found anywhere, and those of jobs that ended lately. Counted in full, the machines of a zone
- * that is cut off would fill every team's limit by themselves. Undefined: it is not known here which jobs ended.
+ * Upper bound of what each team's tasks can use on unconfirmed machines: unassigned tasks of jobs from before the shard
+ * was acquired, and tasks of recently ended jobs. Without this bound the unconfirmed machines of a partitioned zone
+ * would use up every team's quota. Undefined if this controller has not watched long enough to know which jobs ended.
  */
-function maxUnseenUsage(shard: Shard, context: ControllerContext): Map<string, TeamUsage> | undefined {
+function maxUnaccountedUsage(shard: Shard, context: ControllerContext): Map<string, TeamUsage> | undefined {
   const bounds: Map<string, TeamUsage> | undefined = context.endedJobs.usageByTeam();
   if (!bounds) return undefined;
   for (const { job, unassigned, version } of shard.tables.values()) {
     if (version > shard.acquiredRevision) continue;
-    // No owner can have started a job while another that it needs was live, and our view is newer than what any owner
-    // before us acted on.
+    // No earlier owner can have started a job whose dependency is still live, because this controller's watch cache is
+    // newer than the state that any earlier owner acted on.
     if (context.dependencies.waitsForLiveJob(job.id)) continue;
-    const sum = bounds.get(job.team) ?? NOTHING;
+    const sum = bounds.get(job.team) ?? NO_USAGE;
     bounds.set(job.team, {
       cpus: sum.cpus + unassigned * job.cpus,
       gpus: sum.gpus + unassigned * job.gpus,
