--- a/src/coordination/shard/team-usage.ts
+++ b/src/coordination/shard/team-usage.ts
@@ -59,7 +59,7 @@
     if (version > shard.acquiredRevision) continue;
     // No earlier owner can have started a job whose dependency is still live, because this controller's watch cache is
     // newer than the state that any earlier owner acted on.
-    if (context.dependencies.waitsForLiveJob(job.id)) continue;
+    if (context.dependencies.hasLiveDependency(job.id)) continue;
     const sum = bounds.get(job.team) ?? NO_USAGE;
     bounds.set(job.team, {
       cpus: sum.cpus + unassigned * job.cpus,
--- a/test/state-limits-fall.test.ts
+++ b/test/state-limits-fall.test.ts
@@ -31,7 +31,7 @@
   private constructor(
     readonly service: Service,
     cache: WatchCache,
-    isOpen: boolean,
+    isOpenForFormat2: boolean,
     next: unknown,
   ) {
     this.cache = cache;
@@ -42,7 +42,7 @@
       log: quiet,
       store: service.store,
       cache,
-      formatGate: { isOpen },
+      formatGate: { isOpenForFormat2 },
       session: { isValid: true },
       jobs: {
         rememberFinal: () => undefined,
@@ -128,7 +128,10 @@
     clock: service.clock,
     session: { isValid: true, lease: 1 },
   } as unknown as ControllerContext;
-  const noMachines = { machines: () => [], isDeleted: () => false } as unknown as CloudInventory;
+  const noMachines = {
+    machines: () => [],
+    wasRecordDeletedRecently: () => false,
+  } as unknown as CloudInventory;
   return new Leader(context, noMachines, () => false);
 }
 
