--- a/src/coordination/scheduling/chain-urgency.ts
+++ b/src/coordination/scheduling/chain-urgency.ts
@@ -1,23 +1,23 @@
-/** @file Priorities and deadlines that a job inherits from its dependents. */
+/** @file Priority and deadline inheritance: a job inherits both from the jobs that depend on it. */
 import { KEY, read } from '../../bookkeeping/records';
 import type { JobGraph } from '../../bookkeeping/job-graph';
 import type { WatchCache } from '../../bookkeeping/watch-cache';
 import { PRIORITY_RANK, type Priority } from '../../protocol/model';
 
-/** How urgent a job is, given all its direct and indirect dependents. */
+/** The effective priority and deadline of a job, given all its direct and indirect dependents. */
 export interface Urgency {
   /** The highest priority among the job and its dependents. */
   readonly priority: Priority;
-  /** Time of day by which it has to be done for all deadlines after it to be met; undefined where there is none. */
+  /** The latest completion time (time of day) that lets all of them meet their deadlines; undefined without deadlines. */
   readonly latestFinishAt: number | undefined;
 }
 
-/** What of a live job matters to its dependencies. */
+/** The fields of a live job that its dependencies inherit from. */
 export interface ChainJob {
   readonly priority: Priority;
-  /** Time of day of its own deadline. */
+  /** The time of day of its own deadline, if it has one. */
   readonly dueAt: number | undefined;
-  /** How long its tasks should run. */
+  /** The estimated run time of its tasks. */
   readonly expectedRunMs: number;
 }
 
@@ -26,7 +26,7 @@
   return second === undefined ? first : Math.min(first, second);
 }
 
-/** The urgency of a job with one more dependent taken into account. */
+/** Combines the urgency of a job with that of one of its dependents. */
 function inheritUrgency(own: Urgency, dependent: Urgency, dependentRunMs: number): Urgency {
   const isHigher = PRIORITY_RANK[dependent.priority] < PRIORITY_RANK[own.priority];
   const latestStartAt =
@@ -43,7 +43,7 @@
   return count;
 }
 
-/** The live jobs of the graph, described. */
+/** Describes each live job of the graph; `describe` returns undefined for jobs that are not live. */
 function describeJobs(
   graph: JobGraph,
   describe: (id: string) => ChainJob | undefined,
@@ -57,8 +57,8 @@
 }
 
 /**
- * Propagates priorities and deadlines from each job to its dependencies, in reverse topological order, and so through
- * chains of any length without recursion. The result holds the live jobs that have dependents.
+ * Propagates priorities and deadlines from each job to its dependencies. It iterates in reverse topological order, so
+ * chains of any length need no recursion. The result contains the live jobs that have dependents.
  */
 export function chainUrgencies(
   graph: JobGraph,
@@ -75,11 +75,11 @@
     if (dependents === 0) ready.push(id);
   }
   for (let id = ready.pop(); id !== undefined; id = ready.pop()) {
-    const ofDependent = urgencies.get(id);
-    const runMs = jobs.get(id)?.expectedRunMs ?? 0;
+    const dependent = urgencies.get(id);
+    const expectedRunMs = jobs.get(id)?.expectedRunMs ?? 0;
     for (const dependency of graph.dependenciesOf(id)) {
       const own = urgencies.get(dependency);
-      if (ofDependent && own) urgencies.set(dependency, inheritUrgency(own, ofDependent, runMs));
+      if (dependent && own) urgencies.set(dependency, inheritUrgency(own, dependent, expectedRunMs));
       if (decrement(pendingDependents, dependency) === 0) ready.push(dependency);
     }
   }
@@ -87,7 +87,7 @@
   return urgencies;
 }
 
-/** The urgencies of the present graph, computed again only after it has changed. */
+/** The urgencies of the current job graph, recomputed only after the graph has changed. */
 export class ChainUrgency {
   #urgencies: ReadonlyMap<string, Urgency> = new Map();
   #version = -1;
@@ -97,7 +97,7 @@
     private readonly cache: WatchCache,
   ) {}
 
-  /** The urgency of a live job with dependents; undefined for any other. */
+  /** The urgency of a live job that has dependents; undefined for any other job. */
   of(id: string): Urgency | undefined {
     if (!this.graph.isDependency(id)) return undefined;
     if (this.graph.version !== this.#version) {
--- a/src/coordination/scheduling/consolidation-pass.ts
+++ b/src/coordination/scheduling/consolidation-pass.ts
@@ -1,4 +1,4 @@
-/** @file Drains nearly empty machines by moving their tasks to others. */
+/** @file Consolidation: drains underused machines by moving their tasks to other machines. */
 import type { Job } from '../../protocol/model';
 import type { ControllerContext } from '../controller-context';
 import type { AttemptManager } from '../shard/attempt-manager';
@@ -13,12 +13,12 @@
 import { remainingRunS, snapshotMachine, snapshotSchedulable, snapshotTasks } from './machine-snapshot';
 
 const INTERVAL_MS = 2_000;
-/** A task that began more recently is not moved. */
+/** A task is moved only after it has run for this long. */
 const MIN_RUN_BEFORE_MOVE_S = 10;
-/** A task that runs past its estimate is expected to go on for this part of what it has run. */
-const OVERRUN_SHARE = 0.3;
+/** A task near or past its estimate is expected to run on for this share of its elapsed run time. */
+const MIN_REMAINING_SHARE = 0.3;
 
-/** Saves tasks of nearly empty machines, to go on elsewhere, so that the machines can be returned. */
+/** Checkpoints the tasks of underused machines, which continue elsewhere, so that the machines can be released. */
 export class ConsolidationPass {
   #lastRunAt = -Infinity;
 
@@ -28,7 +28,7 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** Runs unless it did so a moment ago, or a task waits for room, which consolidation would take. */
+  /** Runs if the interval has passed, unless a task waits for resources: consolidation would take them from it. */
   runIfDue(now: number, isBacklogEmpty: boolean): void {
     if (now - this.#lastRunAt < INTERVAL_MS) return;
     this.#lastRunAt = now;
@@ -58,7 +58,7 @@
     return {
       key: attempt.key,
       job,
-      remainingS: Math.max(remainingRunS(this.shard, attempt, job, now), ranS * OVERRUN_SHARE),
+      remainingS: Math.max(remainingRunS(this.shard, attempt, job, now), ranS * MIN_REMAINING_SHARE),
       canCheckpoint,
     };
   }
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -1,4 +1,4 @@
-/** @file Chooses nearly empty machines whose tasks can move elsewhere. */
+/** @file Chooses underused machines whose tasks can move to other machines. */
 import { addResources, subtractResources, type Job, type Resources } from '../../protocol/model';
 import { fitsInto, isEligible } from './constraints';
 import type { MachineSnapshot } from './machine-snapshot';
@@ -7,13 +7,13 @@
 export interface MovableTask {
   readonly key: string;
   readonly job: Job;
-  /** How long it will run on, as far as estimates tell. */
+  /** The estimated remaining run time. */
   readonly remainingS: number;
-  /** It runs, and can save what it has done. */
+  /** Whether the task can write a checkpoint now and continue from it on another machine. */
   readonly canCheckpoint: boolean;
 }
 
-/** A machine with its tasks and the room that is free there. */
+/** A machine with its free resources and the tasks on it. */
 export interface ConsolidationCandidate extends MachineSnapshot {
   readonly tasks: readonly MovableTask[];
 }
@@ -21,55 +21,55 @@
 /** A snapshot of the machines. */
 export interface ConsolidationInput {
   readonly machines: readonly ConsolidationCandidate[];
-  /** Idle CPUs to keep for work that should start at once. */
+  /** Idle CPUs to keep available for work that should start at once. */
   readonly warmCpus: number;
 }
 
-/** A machine to drain, with the keys of the tasks to move away. */
+/** A machine to drain, and the attempt keys of the tasks to evict so that they continue elsewhere. */
 export interface MachineToDrain {
   machine: string;
   tasks: string[];
 }
 
-/** Spot machines with a larger share of their CPUs in use are left alone. */
+/** Spot machines with a larger share of their CPUs in use are not drained. */
 const MAX_SPOT_UTILIZATION = 0.5;
-/** The least gain, in seconds of machine time: estimates are no more precise. */
+/** The least gain, in seconds of machine time. Run time estimates are too imprecise for smaller gains. */
 const MIN_GAIN_S = 15;
-/** The gain must be this many times the cost of saving, fetching and restarting the tasks. */
+/** The least ratio of the gain to the cost of checkpointing the tasks, fetching their images and restarting them. */
 const MIN_GAIN_TO_COST = 2;
-/** How many machines may be drained at once on small fleets. */
+/** How many machines one pass may drain in a small fleet. */
 const MAX_DRAINED_SMALL_FLEET = 4;
-/** How many machines may be drained at once on large fleets, as a share of their machines. */
+/** How many machines one pass may drain in a large fleet, as a share of its machines. */
 const MAX_DRAINED_SHARE = 0.02;
 
 /**
- * Chooses nearly empty machines whose tasks fit into free room on others. The tasks are saved and continue there, and the
- * machines can be returned; otherwise a single long task would keep a whole machine rented.
+ * Chooses underused machines whose tasks fit into the free resources of others. The tasks are checkpointed and continue
+ * there, and the machines can be released. Without this a single long task would keep a whole machine rented.
  */
 export function chooseConsolidation(input: ConsolidationInput): MachineToDrain[] {
   return new ConsolidationPlanner(input).run();
 }
 
-/** A task's move, with the room that it takes on its target. */
+/** The move of a task to another machine, from whose free resources those of the task are already subtracted. */
 interface Move {
   readonly task: MovableTask;
   readonly target: ConsolidationCandidate;
-  readonly targetRoom: Resources;
+  readonly targetFree: Resources;
 }
 
-/** The state of one choice: room changes with each machine that is chosen. */
+/** The state of one planning pass: free resources change with each machine that is chosen. */
 class ConsolidationPlanner {
-  /** The room that is left on each machine; one that is to be drained has none. */
-  readonly #rooms: Map<string, Resources>;
-  /** Machines that may take tasks: spot machines before others, the fullest first. */
+  /** The free resources of each machine; machines that are to be drained are removed. */
+  readonly #freeByMachine: Map<string, Resources>;
+  /** Machines to which tasks may move: spot machines before on-demand machines, the most utilized first. */
   readonly #targets: readonly ConsolidationCandidate[];
-  /** Machines that are to take tasks, so that they can't be drained. */
+  /** Machines to which tasks are to move, so that they can't be drained. */
   readonly #chosenTargets = new Set<string>();
   #spareCpus: number;
 
   constructor(private readonly input: ConsolidationInput) {
     const { machines, warmCpus } = input;
-    this.#rooms = new Map(machines.map((machine) => [machine.id, { ...machine.free }]));
+    this.#freeByMachine = new Map(machines.map((machine) => [machine.id, { ...machine.free }]));
     this.#spareCpus = machines.reduce((sum, { free }) => sum + Math.max(0, free.cpus), 0) - warmCpus;
     this.#targets = machines
       .filter((machine) => machine.tasks.length > 0)
@@ -88,7 +88,7 @@
     return drained;
   }
 
-  /** Machines that are worth draining: ordinary ones before spot machines, the emptiest first. */
+  /** Machines that are worth draining: on-demand machines before spot machines, the least utilized first. */
   #sources(): ConsolidationCandidate[] {
     const sources = this.input.machines.filter(
       (machine) =>
@@ -99,16 +99,16 @@
     return sources.sort((a, b) => Number(a.spot) - Number(b.spot) || utilization(a) - utilization(b));
   }
 
-  /** Finds room elsewhere for all tasks that must move; undefined, and nothing changed, where there isn't enough. */
+  /** Finds targets for all tasks that must move. Returns undefined and changes nothing if not all of them fit. */
   #drain(source: ConsolidationCandidate): Move[] | undefined {
     const tasks = tasksToMove(source);
-    // Its own room goes, and so does what its tasks take elsewhere.
+    // Idle CPUs that are lost: those of the drained machine, and those that its tasks occupy elsewhere.
     const lostCpus = tasks.reduce((sum, { job }) => sum + job.cpus, source.free.cpus);
     if (this.#chosenTargets.has(source.id) || lostCpus > this.#spareCpus) return undefined;
     const moves = this.#moveAll(source, tasks);
     if (!moves) return undefined;
     this.#spareCpus -= lostCpus;
-    this.#rooms.delete(source.id);
+    this.#freeByMachine.delete(source.id);
     for (const { target } of moves) this.#chosenTargets.add(target.id);
     return moves;
   }
@@ -118,7 +118,7 @@
     for (const task of tasks) {
       const move = this.#move(source, task);
       if (!move) {
-        for (const { task: moved, targetRoom } of moves) addResources(targetRoom, moved.job);
+        for (const { task: moved, targetFree } of moves) addResources(targetFree, moved.job);
         return undefined;
       }
       moves.push(move);
@@ -129,11 +129,11 @@
   #move(source: ConsolidationCandidate, task: MovableTask): Move | undefined {
     const { job } = task;
     for (const target of this.#targets) {
-      const targetRoom = this.#rooms.get(target.id);
-      if (target.id === source.id || !targetRoom || !isBetterPlace(target, source)) continue;
-      if (!fitsInto(job, targetRoom) || !isEligible(job, target)) continue;
-      subtractResources(targetRoom, job);
-      return { task, target, targetRoom };
+      const targetFree = this.#freeByMachine.get(target.id);
+      if (target.id === source.id || !targetFree || !isBetterTarget(target, source)) continue;
+      if (!fitsInto(job, targetFree) || !isEligible(job, target)) continue;
+      subtractResources(targetFree, job);
+      return { task, target, targetFree };
     }
     return undefined;
   }
@@ -143,31 +143,31 @@
   return 1 - machine.free.cpus / machine.type.cpus;
 }
 
-/** Tasks move only to cheaper machines, or to ones that are no emptier. */
-function isBetterPlace(target: ConsolidationCandidate, source: ConsolidationCandidate): boolean {
+/** Tasks move only to cheaper (spot) machines, or to machines that are at least as utilized. */
+function isBetterTarget(target: ConsolidationCandidate, source: ConsolidationCandidate): boolean {
   return target.spot === source.spot ? utilization(target) >= utilization(source) : target.spot;
 }
 
-/** Whether the task may be sent elsewhere: where some jobs' tasks may be is bound to where their others are. */
+/** Whether the task can move: not if zone constraints tie its zone to the zones of its job's other tasks. */
 function isMovable({ job, canCheckpoint }: MovableTask): boolean {
   return canCheckpoint && !job.oneZone && !job.spread;
 }
 
-/** How long the machine is needed for what can't be moved. */
-function neededForS(machine: ConsolidationCandidate): number {
+/** How long the tasks that can't be moved still need the machine. */
+function unmovableRemainingS(machine: ConsolidationCandidate): number {
   return Math.max(0, ...machine.tasks.filter((task) => !isMovable(task)).map((task) => task.remainingS));
 }
 
-/** What would keep the machine for longer than what can't be moved does. */
+/** The movable tasks that would occupy the machine for longer than those that can't be moved. */
 function tasksToMove(machine: ConsolidationCandidate): MovableTask[] {
-  const neededS = neededForS(machine);
-  return machine.tasks.filter((task) => isMovable(task) && task.remainingS > neededS);
+  const unmovableS = unmovableRemainingS(machine);
+  return machine.tasks.filter((task) => isMovable(task) && task.remainingS > unmovableS);
 }
 
 function isWorthDraining(machine: ConsolidationCandidate): boolean {
   const { type } = machine;
   const tasks = tasksToMove(machine);
-  const gainS = Math.max(0, ...tasks.map((task) => task.remainingS)) - neededForS(machine);
+  const gainS = Math.max(0, ...tasks.map((task) => task.remainingS)) - unmovableRemainingS(machine);
   const cost = tasks.reduce(
     (sum, { job }) => sum + job.cpus * (job.saveS + job.imageGb / type.fetchGbPerS),
     0,
--- a/src/coordination/scheduling/constraints.ts
+++ b/src/coordination/scheduling/constraints.ts
@@ -1,17 +1,17 @@
-/** @file Whether a task fits into free resources, and whether its job's own constraints allow a machine or a zone. */
+/** @file Checks whether a task fits into free resources, and whether its job's constraints allow a machine or a zone. */
 import type { Job, MachineType, Resources } from '../../protocol/model';
 
-/** Sums of decimal amounts drift; amounts that differ by less than this count as equal. */
+/** Amounts that differ by less than this count as equal, because sums of decimal fractions have rounding errors. */
 export const RESOURCE_TOLERANCE = 1e-6;
 
-/** What a job's constraints say something about: a machine, or a kind of machine that can be rented. */
+/** The attributes to which a job's constraints refer: those of a machine, or of a kind of machine that can be rented. */
 export interface MachineKind {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
 }
 
-/** Whether the needs fit into the free room. */
+/** Whether the needs fit into the free resources. */
 export function fitsInto(needs: Resources, free: Resources): boolean {
   return (
     needs.cpus <= free.cpus + RESOURCE_TOLERANCE &&
@@ -20,7 +20,7 @@
   );
 }
 
-/** Whether the job's own constraints allow the machine. */
+/** Whether the job's constraints on spot machines, zone and machine types allow the machine. */
 export function isEligible(job: Job, machine: MachineKind): boolean {
   return (
     (job.spot || !machine.spot) &&
@@ -29,7 +29,7 @@
   );
 }
 
-/** Whether one more task may go to a zone, given where the job's others are. */
+/** Whether the job's zone constraints allow one more task in a zone, given how many of its tasks are in each zone. */
 export function zoneConstraintsAllow(
   job: Job,
   taskCounts: ReadonlyMap<string, number>,
--- a/src/coordination/scheduling/eager-reissue.ts
+++ b/src/coordination/scheduling/eager-reissue.ts
@@ -1,4 +1,4 @@
-/** @file Evicts the tasks of unresponsive machines, so that they are issued again elsewhere. */
+/** @file Eager scheduling: evicts the tasks of unresponsive machines, so that they are re-issued on other machines. */
 import { subtractResources, type Job } from '../../protocol/model';
 import type { ControllerContext } from '../controller-context';
 import type { AttemptManager } from '../shard/attempt-manager';
@@ -17,12 +17,12 @@
   type MachineSnapshot,
 } from './machine-snapshot';
 
-/** How long a machine may block a shard that was acquired before it is returned. */
-const SHARD_BLOCKED_MS = 5_000;
+/** How long an unresponsive machine may block placement in a newly acquired shard before it is released. */
+const BLOCKING_MACHINE_TIMEOUT_MS = 5_000;
 
 /**
- * Eager scheduling: the tasks of a machine that misses heartbeats are evicted and issued again, into room that no waiting
- * task can use. The eviction is confirmed by the worker, by the end of its lease, or by returning the machine.
+ * Eager scheduling: the tasks of a machine that misses heartbeats are evicted and re-issued, on free resources that no
+ * waiting task needs. The eviction is confirmed by the worker, by the expiry of its lease, or by releasing the machine.
  */
 export class EagerReissue {
   constructor(
@@ -31,27 +31,27 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** Returns machines that failed; evicts their tasks where all that waits has found room. */
+  /** Drains failed machines for release. Evicts the tasks of unresponsive machines if no task waits for resources. */
   run(now: number, isBacklogEmpty: boolean): void {
-    const { toEvictFrom: candidates, toRelease: toReturn } = this.#decide(now);
-    for (const id of toReturn) this.shard.machines.get(id)?.drain('unresponsive');
-    if (candidates.length === 0 || !isBacklogEmpty) return;
+    const { toEvictFrom, toRelease } = this.#chooseMachines(now);
+    for (const id of toRelease) this.shard.machines.get(id)?.drain('unresponsive');
+    if (toEvictFrom.length === 0 || !isBacklogEmpty) return;
     if (!this.context.eventLoopDelay.allowsOptimization) return;
-    const rooms = snapshotSchedulable(this.shard, now, snapshotMachine);
-    for (const id of candidates) {
+    const targets = snapshotSchedulable(this.shard, now, snapshotMachine);
+    for (const id of toEvictFrom) {
       const machine = this.shard.machines.get(id);
-      if (machine) this.#evictTasks(machine, rooms);
+      if (machine) this.#evictTasks(machine, targets);
     }
   }
 
-  #decide(now: number): UnresponsiveMachinesResult {
+  #chooseMachines(now: number): UnresponsiveMachinesResult {
     const { heartbeatTimeoutMs, unresponsiveReleaseMs } = this.shard.timing;
     return chooseUnresponsiveMachines({
       machines: this.#monitoredMachines(),
       now,
       heartbeatTimeoutMs,
       releaseAfterMs: unresponsiveReleaseMs,
-      blockingMachineTimeoutMs: SHARD_BLOCKED_MS,
+      blockingMachineTimeoutMs: BLOCKING_MACHINE_TIMEOUT_MS,
     });
   }
 
@@ -62,36 +62,36 @@
       monitored.push({
         id: machine.id,
         zone: machine.record.zone,
-        // One that sends heartbeats but receives nothing is as good as one that sends none.
+        // A machine that sends heartbeats but receives no commands counts as one that sends no heartbeats.
         lastHeartbeatAt: Math.min(
           machine.lastHeartbeatAt ?? machine.firstSeenAt,
           machine.unresponsiveSince ?? Infinity,
         ),
         isBusy: machine.isBusy,
-        // All that waits in the shard waits for it: it was probed, and gave no answer.
+        // The machine did not answer a probe, and jobs from before the failover are not placed until it is confirmed.
         blocksShard: !machine.isConfirmed && machine.isLastCommandUnanswered,
       });
     }
     return monitored;
   }
 
-  /** Evicts each task of the machine that has room elsewhere, and takes that room from `rooms`. */
-  #evictTasks(machine: Machine, rooms: readonly MachineSnapshot[]): void {
+  /** Evicts each task of the machine that fits on one of the targets, and reserves resources for it there. */
+  #evictTasks(machine: Machine, targets: readonly MachineSnapshot[]): void {
     for (const attempt of machine.attempts.values()) {
       const job = jobOccupyingResources(this.shard, attempt);
-      if (!job || attempt.eviction || !takeRoom(job, rooms)) continue;
+      if (!job || attempt.eviction || !reserveResources(job, targets)) continue;
       this.context.log.info(
         { job: job.id, task: attempt.task, machine: machine.id },
-        'eager re-issue: evicting first',
+        'evicting task for eager re-issue',
       );
       this.attempts.evict(machine, attempt, job.checkpointS > 0 ? job.saveS : 0);
     }
   }
 }
 
-/** Takes room for one task of the job on the first machine that has it. False: none has. */
-function takeRoom(job: Job, rooms: readonly MachineSnapshot[]): boolean {
-  const found = rooms.find((machine) => fitsInto(job, machine.free) && isEligible(job, machine));
-  if (found) subtractResources(found.free, job);
-  return found !== undefined;
+/** Reserves resources for one task of the job on the first target where it fits; returns whether it fits on any. */
+function reserveResources(job: Job, targets: readonly MachineSnapshot[]): boolean {
+  const target = targets.find((machine) => fitsInto(job, machine.free) && isEligible(job, machine));
+  if (target) subtractResources(target.free, job);
+  return target !== undefined;
 }
--- a/src/coordination/scheduling/job-queue.ts
+++ b/src/coordination/scheduling/job-queue.ts
@@ -1,30 +1,30 @@
-/** @file The queue of a round: jobs with waiting tasks, in the order in which they get room. */
+/** @file The placement queue of a round: jobs with waiting tasks, in the order in which they are placed. */
 import { PRIORITY_RANK, type Job } from '../../protocol/model';
 import type { TeamQuota } from './team-quota';
 
-/** A job with tasks waiting, as a round sees it. */
+/** A job with waiting tasks, as a snapshot for one round. */
 export interface WaitingJob {
   readonly job: Job;
   readonly waitingTasks: number;
-  /** How many of its tasks are, or may be, in each zone. */
+  /** The number of its tasks that are, or may be, in each zone. */
   readonly tasksPerZone: ReadonlyMap<string, number>;
-  /** How long its tasks can still wait and be in time; negative when it is late already. */
+  /** How long its tasks can still wait without missing the due time; negative if the job is already late. */
   readonly slackMs: number;
   /** CPU seconds that its tasks still need. */
   readonly remainingCpuS: number;
   readonly machinesToAvoid: ReadonlySet<string>;
-  /** How long a task of it should run. */
+  /** The estimated run time of one of its tasks. */
   readonly expectedRunS: number;
-  /** It has waited so long that it gets some room with a priority boost. */
+  /** Whether it has waited so long that it also gets a boosted queue entry. */
   readonly isBoosted: boolean;
-  /** A task of it has been issued or is done. */
+  /** Whether any of its tasks has been issued or is done. */
   readonly hasStarted: boolean;
   readonly submittedAt: number;
 }
 
 /**
- * A job's turn in a round. `boosted`: with a priority boost, into the share of the fleet that is reserved for the jobs that
- * waited longest. `guaranteed`: the job takes only what still fits into its team's guarantee.
+ * An entry of a job in the placement queue. `boosted`: placed first, within the share of the fleet that is reserved for
+ * jobs that have waited longest. `guaranteed`: places only the tasks that still fit into the guarantee of the job's team.
  */
 export interface QueueEntry {
   readonly waiting: WaitingJob;
@@ -32,10 +32,10 @@
 }
 
 /**
- * Sorts queue entries into the order in which they get room: boosted jobs first, the oldest before the others; then by
- * priority, then by what guarantees owe, then by the least slack. Jobs that are late already come after those that can
- * still be in time, the smallest first, because that serves most users. The entries of boosted jobs keep the largest late
- * ones from starving.
+ * Builds the queue in placement order: boosted entries first, the oldest job first; then by priority, with guaranteed
+ * entries before regular ones; then by the least slack. Jobs that are already late come after those that can still be in
+ * time, with the least remaining work first, because that serves most users. The boosted entries keep the largest late
+ * jobs from starving.
  */
 export function orderQueue(
   jobs: readonly WaitingJob[],
@@ -61,7 +61,7 @@
     : first.waiting.slackMs - second.waiting.slackMs;
 }
 
-/** What has not started goes before an older job that has, which might use up its team's limit by itself. */
+/** Jobs that have not started come first: an older job that has started might use up its team's limit alone. */
 function compareBoosted(first: WaitingJob, second: WaitingJob): number {
   const byStart = Number(first.hasStarted) - Number(second.hasStarted);
   return byStart !== 0 ? byStart : first.submittedAt - second.submittedAt;
--- a/src/coordination/scheduling/lease-expiry.ts
+++ b/src/coordination/scheduling/lease-expiry.ts
@@ -1,10 +1,10 @@
-/** @file Drops the attempts of machines whose workers' leases expired. */
+/** @file Drops the attempts on machines whose workers' leases have expired. */
 import type { ControllerContext } from '../controller-context';
 import type { AttemptManager } from '../shard/attempt-manager';
 import type { Machine } from '../shard/machine';
 import type { Shard } from '../shard/shard';
 
-/** Follows up to when workers' leases may have been renewed, by this owner or by a relay, and what ends with them. */
+/** Tracks how late workers' leases may have been renewed, by this owner or by a relay, and drops attempts on expiry. */
 export class LeaseExpiry {
   constructor(
     private readonly shard: Shard,
@@ -12,27 +12,27 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** Some controller relays leases, or has until now: any unresponsive worker may have been answered just now. */
+  /** Assumes that all leases were renewed just now, by a relay that is active or was until now. */
   assumeAllRenewed(now: number): void {
     for (const machine of this.shard.machines.values()) {
       if (machine.isUp) machine.assumeHeartbeatAnswered(now);
     }
   }
 
-  /** The same, if a controller relays leases of the shard. */
+  /** Assumes that all leases were renewed just now if another controller relays the leases of the shard's workers. */
   assumeRenewedIfRelayed(now: number): void {
     if (this.shard.isRelayed) this.assumeAllRenewed(now);
   }
 
   /**
-   * Drops all that was on machines whose workers' leases expired: those workers have killed and forgotten it, for neither
-   * we nor a relay can have answered them since.
+   * Drops all attempts on machines whose workers' leases have expired. Neither this owner nor a relay can have renewed
+   * these leases in the meantime, so the workers have killed and forgotten their attempts.
    */
   async dropExpired(): Promise<void> {
-    // Without the key-value store it can't be found out who relays; returning a machine proves its end all the same.
+    // Without the key-value store relays can't be ruled out. Releasing a machine still confirms that its tasks ended.
     if (this.context.store.isUnavailable || this.#expired(this.context.clock.now()).length === 0) return;
     if (!(await this.shard.confirmNotRelayed())) return;
-    // What was relayed until a moment ago is in our view by now.
+    // The watch cache now contains all relay records that were written before the check.
     const now = this.context.clock.now();
     this.assumeRenewedIfRelayed(now);
     for (const machine of this.#expired(now)) {
@@ -41,7 +41,7 @@
     }
   }
 
-  /** Machines whose leases expired while something was, or may have been, on them. */
+  /** Machines with expired leases that have attempts, or may have unknown ones because they are unconfirmed. */
   #expired(now: number): Machine[] {
     const { leaseMs } = this.shard.timing;
     return [...this.shard.machines.values()].filter(
--- a/src/coordination/scheduling/machine-retirement.ts
+++ b/src/coordination/scheduling/machine-retirement.ts
@@ -1,33 +1,33 @@
-/** @file Drains machines that are of no more use, so that they are returned. */
+/** @file Drains machines that booted too late or are unresponsive, so that they are released. */
 import type { ControllerContext } from '../controller-context';
 import type { AttemptManager } from '../shard/attempt-manager';
 import type { DrainReason, Machine } from '../shard/machine';
 import type { Shard } from '../shard/shard';
 
-/** An unresponsive machine that a partition may have cut off from us is given up this long after its lease expired. */
+/** An unresponsive machine may only be partitioned from us: it is given up this long after its worker's lease expired. */
 const GIVE_UP_AFTER_LEASE_MS = 20_000;
 
-/** Up to when a machine that isn't usable is waited for. */
+/** The deadlines after which a machine that can't be used is drained, in steady time. */
 export interface RetirementLimits {
-  /** When it should have been up. */
+  /** When it should have booted. */
   readonly bootDeadline: number;
-  /** When an unresponsive machine is given up. */
+  /** When it is given up if it is unresponsive. */
   readonly giveUpAt: number;
 }
 
-/** Why a machine is of no more use; undefined when it is, or may still become so. */
+/** Why a machine should be drained; undefined if it is in use, or may still become usable. */
 export function retirementReason(
   machine: Pick<Machine, 'isUp' | 'hasSentHeartbeat' | 'isBusy'>,
   limits: RetirementLimits,
   now: number,
 ): DrainReason | undefined {
-  // Within the limit on changes, recording thousands of machines as up takes minutes: those that send heartbeats aren't
-  // late.
+  // Writes to the key-value store are rate-limited, so recording thousands of machines as up takes minutes. Therefore a
+  // machine that has sent a heartbeat is not late.
   if (!machine.isUp) return !machine.hasSentHeartbeat && now > limits.bootDeadline ? 'late boot' : undefined;
   return !machine.isBusy && now > limits.giveUpAt ? 'unresponsive' : undefined;
 }
 
-/** Drains machines that boot too late, that are unresponsive, or that hold cancelled tasks out of reach. */
+/** Drains machines that boot too late, that are unresponsive, or whose cancelled tasks can't be stopped. */
 export class MachineRetirement {
   constructor(
     private readonly shard: Shard,
@@ -36,16 +36,16 @@
   ) {}
 
   run(now: number): void {
-    this.#drainHoldersOfCancelledTasks(now);
-    this.#drainUseless(now);
+    this.#drainUnreachableWithCancelledTasks(now);
+    this.#drainUnusable(now);
   }
 
   /**
-   * A cancelled task on a machine that can't be reached is proved gone by returning the machine, also where many are
-   * unresponsive at once, so that a partition is assumed, or other controllers relay the leases: a worker that hangs
+   * Releasing an unreachable machine confirms that a cancelled task on it has ended. It is released even if so many
+   * machines are unresponsive that a partition is assumed, or other controllers relay the leases: a stalled worker
    * receives neither the relay's commands nor ours.
    */
-  #drainHoldersOfCancelledTasks(now: number): void {
+  #drainUnreachableWithCancelledTasks(now: number): void {
     const { heartbeatTimeoutMs } = this.shard.timing;
     for (const [, machine] of this.attempts.overdueEvictions(now)) {
       if (machine.drainReason !== undefined) continue;
@@ -55,7 +55,7 @@
     }
   }
 
-  #drainUseless(now: number): void {
+  #drainUnusable(now: number): void {
     const { leaseMs } = this.shard.timing;
     const { late_boot_factor } = this.context.settings.operator;
     for (const machine of this.shard.machines.values()) {
--- a/src/coordination/scheduling/machine-snapshot.ts
+++ b/src/coordination/scheduling/machine-snapshot.ts
@@ -1,17 +1,17 @@
-/** @file Snapshots of machines and of the tasks on them, for the decisions of a round. */
+/** @file Snapshots of machines and of the tasks on them, for the scheduling decisions of a round. */
 import type { Job, Resources } from '../../protocol/model';
 import { elapsedS, occupiesResources, type Attempt } from '../shard/attempt';
 import type { Machine } from '../shard/machine';
 import type { Shard } from '../shard/shard';
 import type { MachineKind } from './constraints';
 
-/** A machine with the room that is free there. */
+/** A machine with its free resources. */
 export interface MachineSnapshot extends MachineKind {
   readonly id: string;
   readonly free: Resources;
 }
 
-/** What the machine is, and the room that is free there. */
+/** Takes a snapshot of the machine with its free resources, which the caller may change. */
 export function snapshotMachine(machine: Machine): MachineSnapshot {
   return {
     id: machine.id,
@@ -22,7 +22,7 @@
   };
 }
 
-/** Describes each machine on which tasks may start, in one pass; those without a description are left out. */
+/** Describes each machine on which tasks may start; skips machines for which `describe` returns undefined. */
 export function snapshotSchedulable<T>(
   shard: Shard,
   now: number,
@@ -37,7 +37,7 @@
   return snapshots;
 }
 
-/** Describes each task that holds room on the machine; those without a description are left out. */
+/** Describes each task that occupies resources of the machine; skips tasks for which `describe` returns undefined. */
 export function snapshotTasks<T>(
   shard: Shard,
   machine: Machine,
@@ -52,12 +52,12 @@
   return snapshots;
 }
 
-/** The job of an attempt that holds room; undefined when the attempt has exited, or nothing is known of its job. */
+/** The job of an attempt that occupies resources; undefined if the attempt has exited, or its job isn't in the shard. */
 export function jobOccupyingResources(shard: Shard, attempt: Attempt): Job | undefined {
   return occupiesResources(attempt) ? shard.tables.get(attempt.job)?.job : undefined;
 }
 
-/** How long the attempt will run on, as far as estimates tell; negative when it runs past its estimate. */
+/** The estimated remaining run time of the attempt; negative if it has run for longer than estimated. */
 export function remainingRunS(shard: Shard, attempt: Attempt, job: Job, now: number): number {
   return shard.runTimes.runTimeS(job) - elapsedS(attempt, now);
 }
--- a/src/coordination/scheduling/placement-pass.ts
+++ b/src/coordination/scheduling/placement-pass.ts
@@ -1,4 +1,4 @@
-/** @file Issues waiting tasks to machines with room, over as many rounds as that takes. */
+/** @file Places waiting tasks on machines and issues them, over as many rounds as the queue takes. */
 import type { ControllerContext } from '../controller-context';
 import type { AttemptManager } from '../shard/attempt-manager';
 import type { Machine } from '../shard/machine';
@@ -13,7 +13,7 @@
 } from './machine-snapshot';
 import { placeTasks, type PlacementCandidate, type PlacementInput } from './placement';
 
-/** Places the tasks of a queue; knows how far it came, and what found no room. */
+/** Places the tasks of the queue. Keeps the position in the queue and the unplaced tasks from one round to the next. */
 export class PlacementPass {
   #cursor = 0;
   #unplaced = new Map<string, number>();
@@ -26,27 +26,27 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** The number of tasks that found no room, by job. */
+  /** The number of tasks that could not be placed, by job. */
   get unplaced(): ReadonlyMap<string, number> {
     return this.#unplaced;
   }
 
-  /** Whether in the last round all had their turn. */
+  /** Whether the last round reached the end of the queue. */
   get isComplete(): boolean {
     return this.#isComplete;
   }
 
-  /** Whether in any round so far all had their turn. */
+  /** Whether any round so far has reached the end of the queue. */
   get hasCompleted(): boolean {
     return this.#hasCompleted;
   }
 
-  /** Whether all had their turn and found room. */
+  /** Whether the last round reached the end of the queue and no task is left unplaced. */
   get isBacklogEmpty(): boolean {
     return this.#isComplete && this.#unplaced.size === 0;
   }
 
-  /** Nothing waits. */
+  /** Completes a round in which no job has waiting tasks. */
   completeEmptyQueue(): void {
     this.#unplaced.clear();
     this.#cursor = 0;
@@ -54,7 +54,7 @@
     this.#hasCompleted = true;
   }
 
-  /** Issues tasks in the order of the queue, from where the last round stopped. */
+  /** Places and issues tasks in the order of the queue, starting where the last round stopped. */
   run(queue: readonly QueueEntry[], now: number, timeIsUp: () => boolean): void {
     const input = this.#observe(queue, now);
     const result = placeTasks(input, timeIsUp);
@@ -80,7 +80,7 @@
     };
   }
 
-  /** Machines with room for the smallest task that waits, and the CPUs of all on which tasks may start. */
+  /** The machines with enough free CPUs for the smallest waiting task, and the CPUs of all schedulable machines. */
   #observeMachines(
     queue: readonly QueueEntry[],
     now: number,
@@ -90,7 +90,7 @@
     let totalCpus = 0;
     const machines = snapshotSchedulable(this.shard, now, (machine) => {
       totalCpus += machine.type.cpus;
-      // For boosted jobs a machine without room may have to be kept clear.
+      // A boosted job may have to reserve a machine that has no free CPUs now.
       if (!hasBoosted && machine.freeCpus + RESOURCE_TOLERANCE < minCpus) return undefined;
       return this.#describeCandidate(machine, now);
     });
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -1,4 +1,4 @@
-/** @file Places the tasks of waiting jobs on machines. */
+/** @file Placement: assigns the tasks of waiting jobs to machines. */
 import { subtractResources, type Job, type Resources } from '../../protocol/model';
 import { fitsInto, isEligible, RESOURCE_TOLERANCE, zoneConstraintsAllow } from './constraints';
 import type { QueueEntry, WaitingJob } from './job-queue';
@@ -6,14 +6,14 @@
 import { isWithinGuarantee, isWithinQuota, type TeamQuota, type TeamUsage } from './team-quota';
 import { isUnconstrained, UnplaceableSizes } from './unplaceable-sizes';
 
-/** A machine that may take tasks. */
+/** A machine on which tasks may be placed. */
 export interface PlacementCandidate extends MachineSnapshot {
   readonly cachedImages: ReadonlyMap<string, number>;
-  /** How long it will be busy with what it has, as far as estimates tell; 0 when it is empty. */
+  /** The estimated time until its current tasks have ended; 0 if it is idle. */
   readonly busyForS: number;
 }
 
-/** One task of the job goes to the machine. */
+/** The placement of one task of the job on the machine. */
 export interface Placement {
   job: string;
   machine: string;
@@ -22,64 +22,64 @@
 
 /** A snapshot of the waiting jobs and of the machines, for one round. */
 export interface PlacementInput {
-  /** In the order in which they get room. */
+  /** The queue entries in placement order. */
   readonly queue: readonly QueueEntry[];
   readonly machines: readonly PlacementCandidate[];
   readonly quotas: ReadonlyMap<string, TeamQuota>;
   readonly usage: ReadonlyMap<string, TeamUsage>;
-  /** CPUs that may still be given to boosted jobs. */
+  /** CPUs that boosted jobs may still use of their share of the fleet. */
   readonly boostedCpusLeft: number;
-  /** Whether boosted jobs have any already. If not, one task larger than the whole share may still go ahead, alone. */
+  /** Whether any boosted task is on a machine. If not, one may be placed even if it is larger than the whole share. */
   readonly hasBoostedTasks: boolean;
-  /** The entry to begin with: where the last round stopped. */
+  /** The index of the first queue entry to process: where the last round stopped. */
   readonly cursor: number;
 }
 
-/** What a round placed, and what it didn't. */
+/** The placements of a round, and the tasks that could not be placed. */
 export interface PlacementResult {
   placements: Placement[];
-  /** The number of tasks that found no room, by job. */
+  /** The number of tasks that could not be placed, by job. */
   unplaced: Map<string, number>;
-  /** Where to go on, when the time ran out; undefined when all had their turn. */
+  /** The index of the queue entry to continue with; undefined if the round reached the end of the queue. */
   cursor: number | undefined;
-  /** How many machines were looked at, in all. */
+  /** The number of machines examined; a machine counts once for each queue entry. */
   machinesExamined: number;
 }
 
-/** How many machines may be reserved at a time for boosted jobs that fit nowhere yet. */
+/** How many machines one round may reserve for boosted jobs that fit nowhere yet. */
 const MAX_RESERVED_MACHINES = 8;
-/** Whoever a job belongs to, its tasks look for the same free room: there is one group of sizes. */
-const ANY_JOB = '';
+/** The only group of unplaceable sizes: the tasks of all jobs and teams compete for the same free resources. */
+const SHARED_GROUP = '';
 
-/** Finds room for waiting tasks, until all had their turn or the round's time is up. */
+/** Places waiting tasks until the end of the queue, or until the round's time budget is used up. */
 export function placeTasks(input: PlacementInput, timeIsUp: () => boolean): PlacementResult {
   return new PlacementRound(input).run(timeIsUp);
 }
 
-/** One entry's turn: its job with what it may use, and how many of its tasks still wait. */
-interface Turn {
+/** The state of the queue entry being processed: its job, the quota and usage of its team, and the tasks left to place. */
+interface EntryState {
   readonly waiting: WaitingJob;
   readonly job: Job;
   readonly kind: QueueEntry['kind'];
   readonly quota: TeamQuota;
   readonly usage: { cpus: number; gpus: number };
-  /** How many of the job's tasks are, or may be, in each zone. */
-  readonly zones: Map<string, number>;
+  /** The number of the job's tasks that are, or may be, in each zone. */
+  readonly tasksPerZone: Map<string, number>;
   tasksLeft: number;
 }
 
 interface ScoredMachine {
   readonly machine: PlacementCandidate;
-  readonly room: Resources;
+  readonly free: Resources;
   readonly score: number;
 }
 
-/** The state of one round: free room, teams' usage and zone counts change with each task that is placed. */
+/** The state of one round: free resources, teams' usage and zone counts change with each task that is placed. */
 class PlacementRound {
-  /** The room that is left on each machine; a reserved machine has none. */
-  readonly #rooms: Map<string, Resources>;
+  /** The free resources of each machine; reserved machines are removed. */
+  readonly #freeByMachine: Map<string, Resources>;
   readonly #usageByTeam: Map<string, { cpus: number; gpus: number }>;
-  readonly #zonesByJob = new Map<string, Map<string, number>>();
+  readonly #tasksPerZoneByJob = new Map<string, Map<string, number>>();
   readonly #placedByJob = new Map<string, number>();
   readonly #unplaceable = new UnplaceableSizes();
   readonly #placements: Placement[] = [];
@@ -90,7 +90,7 @@
   #machinesExamined = 0;
 
   constructor(private readonly input: PlacementInput) {
-    this.#rooms = new Map(input.machines.map((machine) => [machine.id, { ...machine.free }]));
+    this.#freeByMachine = new Map(input.machines.map((machine) => [machine.id, { ...machine.free }]));
     this.#usageByTeam = new Map([...input.usage].map(([team, usage]) => [team, { ...usage }]));
     this.#boostedCpusLeft = input.boostedCpusLeft;
     this.#hasBoostedTasks = input.hasBoostedTasks;
@@ -102,7 +102,7 @@
       const entry = queue[index];
       if (!entry) break;
       if (index > cursor && timeIsUp()) return this.#result(index);
-      this.#takeTurn(entry);
+      this.#processEntry(entry);
     }
     return this.#result(undefined);
   }
@@ -116,31 +116,31 @@
     };
   }
 
-  #takeTurn(entry: QueueEntry): void {
-    const turn = this.#beginTurn(entry);
-    if (!turn) return;
-    if (this.#wantsMore(turn) && !this.#unplaceable.has(ANY_JOB, turn.job)) {
-      this.#placeJob(turn);
-      if (this.#wantsMore(turn)) this.#handleLackOfRoom(turn);
+  #processEntry(entry: QueueEntry): void {
+    const entryState = this.#startEntry(entry);
+    if (!entryState) return;
+    if (this.#mayPlaceAnother(entryState) && !this.#unplaceable.has(SHARED_GROUP, entryState.job)) {
+      this.#placeJob(entryState);
+      if (this.#mayPlaceAnother(entryState)) this.#handleUnplacedTasks(entryState);
     }
-    this.#placedByJob.set(turn.job.id, turn.waiting.waitingTasks - turn.tasksLeft);
-    this.#countUnplaced(turn);
+    this.#placedByJob.set(entryState.job.id, entryState.waiting.waitingTasks - entryState.tasksLeft);
+    this.#countUnplaced(entryState);
   }
 
-  #beginTurn({ waiting, kind }: QueueEntry): Turn | undefined {
+  #startEntry({ waiting, kind }: QueueEntry): EntryState | undefined {
     const { job } = waiting;
     const quota = this.input.quotas.get(job.team);
     if (!quota) return undefined;
     const usage = this.#usageByTeam.get(job.team) ?? { cpus: 0, gpus: 0 };
     this.#usageByTeam.set(job.team, usage);
-    const zones = this.#zonesByJob.get(job.id) ?? new Map(waiting.tasksPerZone);
-    this.#zonesByJob.set(job.id, zones);
+    const tasksPerZone = this.#tasksPerZoneByJob.get(job.id) ?? new Map(waiting.tasksPerZone);
+    this.#tasksPerZoneByJob.set(job.id, tasksPerZone);
     const tasksLeft = waiting.waitingTasks - (this.#placedByJob.get(job.id) ?? 0);
-    return { waiting, job, kind, quota, usage, zones, tasksLeft };
+    return { waiting, job, kind, quota, usage, tasksPerZone, tasksLeft };
   }
 
-  /** Whether the job has a task waiting that its team's limits let it place in this turn. */
-  #wantsMore({ job, kind, quota, usage, tasksLeft }: Turn): boolean {
+  /** Whether the job has a task left, and its team's limits and the kind of the queue entry allow to place it. */
+  #mayPlaceAnother({ job, kind, quota, usage, tasksLeft }: EntryState): boolean {
     return (
       tasksLeft > 0 &&
       isWithinQuota(job, usage, quota) &&
@@ -150,81 +150,85 @@
   }
 
   /**
-   * A task that goes to the best machine makes it no worse for the next one of the same job, as less room is left over: so
-   * machines are looked at once for a job and filled in order, not looked at again for every task.
+   * Fills the machines with tasks of the job in order of score. Scores are computed once for the job, not for each task:
+   * a placed task leaves fewer free resources on its machine, so the machine is no worse for the next task of the job.
    */
-  #placeJob(turn: Turn): void {
-    const { job, zones } = turn;
-    for (const { machine, room } of this.#scoredMachines(turn)) {
-      if (!this.#wantsMore(turn)) break;
-      while (this.#wantsMore(turn) && fitsInto(job, room) && zoneConstraintsAllow(job, zones, machine.zone)) {
-        this.#placeTask(turn, machine, room);
+  #placeJob(entryState: EntryState): void {
+    const { job, tasksPerZone } = entryState;
+    for (const { machine, free } of this.#scoredMachines(entryState)) {
+      if (!this.#mayPlaceAnother(entryState)) break;
+      while (
+        this.#mayPlaceAnother(entryState) &&
+        fitsInto(job, free) &&
+        zoneConstraintsAllow(job, tasksPerZone, machine.zone)
+      ) {
+        this.#placeTask(entryState, machine, free);
       }
     }
   }
 
-  /** The machines with room for a task of the job, best first. */
-  #scoredMachines({ waiting, job }: Turn): ScoredMachine[] {
+  /** The machines on which a task of the job fits, those with the highest score first. */
+  #scoredMachines({ waiting, job }: EntryState): ScoredMachine[] {
     const { machines } = this.input;
     this.#machinesExamined += machines.length;
     const scored: ScoredMachine[] = [];
     for (const machine of machines) {
-      const room = this.#rooms.get(machine.id);
-      if (!room || !fitsInto(job, room)) continue;
+      const free = this.#freeByMachine.get(machine.id);
+      if (!free || !fitsInto(job, free)) continue;
       if (!isEligible(job, machine) || waiting.machinesToAvoid.has(machine.id)) continue;
-      scored.push({ machine, room, score: score(waiting, machine, room) });
+      scored.push({ machine, free, score: score(waiting, machine, free) });
     }
     return scored.sort((a, b) => b.score - a.score);
   }
 
-  #placeTask(turn: Turn, machine: PlacementCandidate, room: Resources): void {
-    const { job, usage, zones } = turn;
-    const isBoosted = turn.kind === 'boosted';
-    subtractResources(room, job);
+  #placeTask(entryState: EntryState, machine: PlacementCandidate, free: Resources): void {
+    const { job, usage, tasksPerZone } = entryState;
+    const isBoosted = entryState.kind === 'boosted';
+    subtractResources(free, job);
     usage.cpus += job.cpus;
     usage.gpus += job.gpus;
-    if (isBoosted) this.#takeBoostedShare(job);
-    zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
+    if (isBoosted) this.#useBoostedShare(job);
+    tasksPerZone.set(machine.zone, (tasksPerZone.get(machine.zone) ?? 0) + 1);
     this.#placements.push({ job: job.id, machine: machine.id, isBoosted });
-    turn.tasksLeft -= 1;
+    entryState.tasksLeft -= 1;
   }
 
-  #takeBoostedShare(job: Job): void {
+  #useBoostedShare(job: Job): void {
     this.#boostedCpusLeft -= job.cpus;
     this.#hasBoostedTasks = true;
   }
 
-  #handleLackOfRoom(turn: Turn): void {
-    if (turn.kind === 'boosted' && this.#reservedMachines < MAX_RESERVED_MACHINES) {
-      this.#reserveMachine(turn);
-    } else if (isUnconstrained(turn.waiting)) {
-      this.#unplaceable.add(ANY_JOB, turn.job);
+  #handleUnplacedTasks(entryState: EntryState): void {
+    if (entryState.kind === 'boosted' && this.#reservedMachines < MAX_RESERVED_MACHINES) {
+      this.#reserveMachine(entryState);
+    } else if (isUnconstrained(entryState.waiting)) {
+      this.#unplaceable.add(SHARED_GROUP, entryState.job);
     }
   }
 
-  /** Small tasks would fill every gap before a large one fits: one machine is kept clear for it. */
-  #reserveMachine(turn: Turn): void {
-    const machine = this.#firstToBeEmpty(turn);
+  /** Reserves a machine for a boosted job that fits nowhere: otherwise small tasks would fill each gap before it fits. */
+  #reserveMachine(entryState: EntryState): void {
+    const machine = this.#earliestIdleMachine(entryState);
     if (machine === undefined) return;
-    this.#rooms.delete(machine);
+    this.#freeByMachine.delete(machine);
     this.#reservedMachines += 1;
-    this.#takeBoostedShare(turn.job);
+    this.#useBoostedShare(entryState.job);
   }
 
-  /** The machine that is the first to have room for the job, once nothing more is put there. */
-  #firstToBeEmpty({ waiting, job, zones }: Turn): string | undefined {
+  /** Of the eligible machines that are large enough, the one that becomes idle first if no more tasks are placed there. */
+  #earliestIdleMachine({ waiting, job, tasksPerZone }: EntryState): string | undefined {
     let best: PlacementCandidate | undefined;
     for (const machine of this.input.machines) {
-      if (!this.#rooms.has(machine.id) || !fitsInto(job, machine.type)) continue;
+      if (!this.#freeByMachine.has(machine.id) || !fitsInto(job, machine.type)) continue;
       if (!isEligible(job, machine) || waiting.machinesToAvoid.has(machine.id)) continue;
-      if (!zoneConstraintsAllow(job, zones, machine.zone)) continue;
+      if (!zoneConstraintsAllow(job, tasksPerZone, machine.zone)) continue;
       if (!best || machine.busyForS < best.busyForS) best = machine;
     }
     return best?.id;
   }
 
-  /** Only work that its team's limit lets run counts as lacking room. */
-  #countUnplaced({ job, kind, quota, usage, tasksLeft }: Turn): void {
+  /** Counts the tasks left as unplaced, up to the team's upper limit: tasks beyond it don't wait for free resources. */
+  #countUnplaced({ job, kind, quota, usage, tasksLeft }: EntryState): void {
     if (kind !== 'regular' || tasksLeft <= 0 || !isWithinQuota(job, usage, quota)) return;
     const withinLimit =
       quota.cpus_max === 0
@@ -234,17 +238,13 @@
   }
 }
 
-/** How well a task suits a machine with room for it: a cached image counts most, then how little room is left over. */
-function score(
-  { job, expectedRunS: runS }: WaitingJob,
-  machine: PlacementCandidate,
-  free: Resources,
-): number {
+/** Scores a machine for a task that fits there: a cached image counts most; fewer leftover resources score higher. */
+function score({ job, expectedRunS }: WaitingJob, machine: PlacementCandidate, free: Resources): number {
   const cached = machine.cachedImages.has(job.image) ? 4 : 0;
   const cpuLeft = (free.cpus - job.cpus) / machine.type.cpus;
   const memoryLeft = (free.memoryGb - job.memoryGb) / machine.type.memoryGb;
-  // Spot machines are cheap, so they are filled first and the others can be returned. A machine that stays busy anyway is
-  // preferred for the same reason: the others become idle.
-  const staysBusy = machine.busyForS > 0 ? 0.5 + 0.5 * Math.min(1, machine.busyForS / runS) : 0;
+  // Spot machines are cheap, so they are filled first and on-demand machines can be released. Machines that stay busy
+  // anyway are preferred, so that other machines become idle and can be released.
+  const staysBusy = machine.busyForS > 0 ? 0.5 + 0.5 * Math.min(1, machine.busyForS / expectedRunS) : 0;
   return cached + (machine.spot ? 1.5 : 0) + staysBusy - cpuLeft - 0.5 * Math.abs(cpuLeft - memoryLeft);
 }
--- a/src/coordination/scheduling/preemption-pass.ts
+++ b/src/coordination/scheduling/preemption-pass.ts
@@ -1,4 +1,4 @@
-/** @file Evicts running tasks for waiting ones that found no room in a round. */
+/** @file Evicts running tasks in favor of waiting tasks that could not be placed in a round. */
 import { PRIORITY_RANK, type Job } from '../../protocol/model';
 import type { ControllerContext } from '../controller-context';
 import type { AttemptManager } from '../shard/attempt-manager';
@@ -16,14 +16,14 @@
 } from './preemption';
 import type { TeamUsage } from './team-quota';
 
-/** A task that should end this soon is not evicted for others. */
+/** A task is not preempted if it should end within this time plus its checkpoint time. */
 const NEARLY_DONE_S = 5;
-/** Preemption walks over all that runs; what it evicts takes seconds to go. So it runs at most this often. */
+/** The least time between two passes: a pass examines all running tasks, and evicted tasks take seconds to exit. */
 const MIN_INTERVAL_MS = 250;
-/** For the same reason the next one waits for this many times what the round took until the end of this one. */
+/** Limits the time spent on passes: the least interval is this many times what the round took up to the pass's end. */
 const MIN_INTERVAL_PER_ROUND_TIME = 10;
 
-/** Makes room by preemption, within a part of the owner's time. */
+/** Preempts tasks for unplaced jobs. Passes take a limited share of the owner's time. */
 export class PreemptionPass {
   #nextRunAt = -Infinity;
 
@@ -33,7 +33,7 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** Evicts tasks for those of the queue that found no room, unless it did so a moment ago. */
+  /** Evicts tasks for the unplaced jobs of the queue, unless the last pass was too recent. */
   runIfDue(
     queue: readonly QueueEntry[],
     unplaced: ReadonlyMap<string, number>,
@@ -53,8 +53,8 @@
     timeIsUp: () => boolean,
   ): void {
     const usage = this.shard.usageByTeam();
-    const jobs = this.#jobsToMakeRoomFor(queue, unplaced, usage);
-    // Mostly so: walking over all that runs to find nothing took a tenth of the owner's time (docs/PERFORMANCE.md).
+    const jobs = this.#jobsThatMayPreempt(queue, unplaced, usage);
+    // The usual case: examining all running tasks in vain took a tenth of the owner's time (docs/PERFORMANCE.md).
     if (jobs.length === 0) return;
     const input = { unplaced: jobs, machines: this.#observe(now), quotas: this.shard.teams, usage };
     for (const { key, machine } of choosePreemptions(input, timeIsUp).victims) {
@@ -62,7 +62,7 @@
     }
   }
 
-  #jobsToMakeRoomFor(
+  #jobsThatMayPreempt(
     queue: readonly QueueEntry[],
     unplaced: ReadonlyMap<string, number>,
     usage: ReadonlyMap<string, TeamUsage>,
@@ -71,13 +71,13 @@
     for (const { waiting, kind } of queue) {
       if (kind !== 'regular') continue;
       const count = unplaced.get(waiting.job.id) ?? 0;
-      if (count > 0 && this.#mayEvictAny(waiting.job, usage)) jobs.push({ waiting, count });
+      if (count > 0 && this.#mayPreemptAnyTask(waiting.job, usage)) jobs.push({ waiting, count });
     }
     return jobs;
   }
 
-  /** Whether anything may be evicted for the job at all: of a lower priority, or for its team's guarantee. */
-  #mayEvictAny(job: Job, usage: ReadonlyMap<string, TeamUsage>): boolean {
+  /** Whether the job may preempt any task: one of lower priority, or another team's if its own is below its guarantee. */
+  #mayPreemptAnyTask(job: Job, usage: ReadonlyMap<string, TeamUsage>): boolean {
     const quota = this.shard.teams.get(job.team);
     const usedCpus = usage.get(job.team)?.cpus ?? 0;
     if (quota && quota.cpus > 0 && usedCpus + job.cpus <= quota.cpus + RESOURCE_TOLERANCE) return true;
@@ -95,9 +95,9 @@
   }
 
   #describeTask(attempt: Attempt, job: Job, now: number): PreemptibleTask | undefined {
-    // What was issued a moment ago is left alone: evicting it would only chase tasks about.
+    // Evicting an attempt that was issued a moment ago would make tasks displace each other repeatedly.
     if (attempt.phase === 'starting' || attempt.isBoosted) return undefined;
-    // It will have made room by itself before an eviction would pay.
+    // The task should end, and free its resources, too soon for an eviction to pay off.
     const hasRunningTime = attempt.runningSince !== undefined;
     if (hasRunningTime && remainingRunS(this.shard, attempt, job, now) < job.saveS + NEARLY_DONE_S)
       return undefined;
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,4 +1,4 @@
-/** @file Chooses running tasks to evict so that waiting tasks of more right get their room. */
+/** @file Preemption: chooses running tasks to evict in favor of waiting tasks with precedence over them. */
 import {
   addResources,
   PRIORITY_RANK,
@@ -16,48 +16,48 @@
 export interface PreemptibleTask {
   readonly key: string;
   readonly job: Job;
-  /** Seconds of work that evicting it now would lose, saving included. */
+  /** Seconds of run time that evicting it now would lose, including the time to write a checkpoint. */
   readonly lossS: number;
-  /** It is being evicted already; its room comes free. */
+  /** Whether it is already being evicted, so that its resources will become free. */
   readonly isBeingEvicted: boolean;
 }
 
-/** A machine with its tasks and the room that is free there. */
+/** A machine with its free resources and the tasks on it. */
 export interface PreemptionCandidate extends MachineSnapshot {
   readonly tasks: readonly PreemptibleTask[];
 }
 
-/** A job that found no room, and how many of its tasks. */
+/** A job with tasks that could not be placed, and their number. */
 export interface UnplacedJob {
   readonly waiting: WaitingJob;
   readonly count: number;
 }
 
-/** A snapshot of what waits and what runs. */
+/** A snapshot of the unplaced jobs and of the machines with their tasks. */
 export interface PreemptionInput {
-  /** Jobs that found no room, in order. */
+  /** Jobs with unplaced tasks, in placement order. */
   readonly unplaced: readonly UnplacedJob[];
   readonly machines: readonly PreemptionCandidate[];
   readonly quotas: ReadonlyMap<string, TeamQuota>;
   readonly usage: ReadonlyMap<string, TeamUsage>;
 }
 
-/** The tasks to evict, each with its machine, and how many machines were examined for that. */
+/** The tasks to evict, each with its machine, and the number of machine examinations. */
 export interface PreemptionResult {
   victims: { key: string; machine: string }[];
   machinesExamined: number;
 }
 
-/** How to evict a running task, and how many seconds of work that costs. */
+/** How long to let a running task write a checkpoint before it is evicted, and the seconds of run time lost. */
 export interface EvictionCost {
-  /** How long the task gets to save what it has done. */
+  /** Grace period for writing a checkpoint; 0 if the task is killed at once. */
   readonly graceS: number;
   readonly lossS: number;
 }
 
 /**
- * What evicting a task of the job costs after it ran for so long. A task that saved by itself a moment ago loses less by
- * being stopped at once than by the time that saving takes, and its room is free sooner.
+ * The cost of evicting a task of the job after it has run for `ranS`. A task that wrote a checkpoint a moment ago loses
+ * less if it is killed at once than a new checkpoint would take, and its resources become free sooner.
  */
 export function evictionCost(job: Job, ranS: number): EvictionCost {
   if (job.checkpointS === 0) return { graceS: 0, lossS: ranS };
@@ -66,8 +66,8 @@
 }
 
 /**
- * Chooses running tasks to evict so that waiting ones get room: tasks of a lower priority and, for a team below its
- * guarantee, tasks that another team runs beyond its own guarantee. Nothing else is evicted for room.
+ * Chooses running tasks to evict so that unplaced tasks fit: tasks of a lower priority and, for a team below its
+ * guarantee, tasks that another team runs beyond its own guarantee. No other tasks are preempted.
  */
 export function choosePreemptions(
   input: PreemptionInput,
@@ -76,37 +76,37 @@
   return new PreemptionPlanner(input).run(timeIsUp);
 }
 
-/** Which tasks to evict on a machine so that one more task fits there. */
+/** The tasks to evict on a machine so that one more task fits there. */
 interface EvictionPlan {
   readonly machine: PreemptionCandidate;
   readonly victims: readonly PreemptibleTask[];
-  /** CPU seconds of work that are lost. */
-  readonly loss: number;
+  /** CPU seconds of run time that the evictions lose. */
+  readonly lossCpuS: number;
 }
 
-/** The state of one choice: room and teams' usage change with each task that is chosen. */
+/** The state of one preemption pass: free resources and teams' usage change with each task that is chosen. */
 class PreemptionPlanner {
   readonly #usageByTeam: Map<string, TeamUsage>;
-  /** The machine of each task that is to be evicted, by the task's key. */
+  /** The machine of each chosen victim, by the key of its attempt. */
   readonly #machineByVictim = new Map<string, string>();
-  /** The room on each machine once all evictions so far are over. */
-  readonly #rooms = new Map<string, Resources>();
+  /** The free resources of each machine after all evictions that are in progress or chosen so far. */
+  readonly #freeByMachine = new Map<string, Resources>();
   readonly #unplaceable = new UnplaceableSizes();
   #machinesExamined = 0;
 
   constructor(private readonly input: PreemptionInput) {
     this.#usageByTeam = new Map([...input.usage].map(([team, usage]) => [team, { ...usage }]));
     for (const machine of input.machines) {
-      const room = { ...machine.free };
-      for (const task of machine.tasks) if (task.isBeingEvicted) addResources(room, task.job);
-      this.#rooms.set(machine.id, room);
+      const free = { ...machine.free };
+      for (const task of machine.tasks) if (task.isBeingEvicted) addResources(free, task.job);
+      this.#freeByMachine.set(machine.id, free);
     }
   }
 
   run(timeIsUp: () => boolean): PreemptionResult {
     for (const { waiting, count } of this.input.unplaced) {
       if (timeIsUp()) break;
-      this.#makeRoomForJob(waiting, count);
+      this.#preemptForJob(waiting, count);
     }
     return {
       victims: [...this.#machineByVictim].map(([key, machine]) => ({ key, machine })),
@@ -114,45 +114,45 @@
     };
   }
 
-  #makeRoomForJob(waiting: WaitingJob, count: number): void {
+  #preemptForJob(waiting: WaitingJob, count: number): void {
     const { job } = waiting;
-    // What is owed to one team is not owed to another; otherwise similar jobs find similar victims.
+    // Which tasks may be evicted depends only on the waiting job's priority and on its team, which may have a guarantee.
     const group = `${job.priority} ${job.team}`;
     if (this.#unplaceable.has(group, job)) return;
-    const left = this.#makeRoom(waiting, count);
-    if (left === count && isUnconstrained(waiting)) this.#unplaceable.add(group, job);
+    const unplacedCount = this.#preemptForTasks(waiting, count);
+    if (unplacedCount === count && isUnconstrained(waiting)) this.#unplaceable.add(group, job);
   }
 
-  /** Makes room for up to `count` tasks of a job; returns for how many there was none. */
-  #makeRoom(waiting: WaitingJob, count: number): number {
-    let left = count;
-    while (left > 0) {
-      const before = left;
-      left = this.#makeRoomOnce(waiting, left);
-      if (left === before) break;
+  /** Chooses victims for up to `count` tasks of a job; returns the number of tasks that still fit nowhere. */
+  #preemptForTasks(waiting: WaitingJob, count: number): number {
+    let unplacedCount = count;
+    while (unplacedCount > 0) {
+      const countBefore = unplacedCount;
+      unplacedCount = this.#planPass(waiting, unplacedCount);
+      if (unplacedCount === countBefore) break;
     }
-    return left;
+    return unplacedCount;
   }
 
-  /** One pass over all machines, the least loss first; a machine is examined again only after a task went there. */
-  #makeRoomOnce(waiting: WaitingJob, count: number): number {
+  /** One pass over all machines, the least loss first. A machine is examined again only after a task was placed there. */
+  #planPass(waiting: WaitingJob, count: number): number {
     const { job } = waiting;
-    let left = count;
+    let unplacedCount = count;
     for (const first of this.#plansByLoss(waiting)) {
-      // Teams' usage changes as tasks are chosen: the plan made for this machine before may no longer hold.
+      // Teams' usage changes with each chosen victim, so the plan may contain tasks that may no longer be evicted.
       const isStillAllowed = first.victims.every((victim) => this.#mayEvict(job, victim));
       let next = isStillAllowed ? first : this.#planFor(job, first.machine);
-      while (next && left > 0 && next.loss <= first.loss) {
+      while (next && unplacedCount > 0 && next.lossCpuS <= first.lossCpuS) {
         this.#commit(job, next);
-        left -= 1;
-        next = left > 0 ? this.#planFor(job, first.machine) : undefined;
+        unplacedCount -= 1;
+        next = unplacedCount > 0 ? this.#planFor(job, first.machine) : undefined;
       }
-      if (left === 0) break;
+      if (unplacedCount === 0) break;
     }
-    return left;
+    return unplacedCount;
   }
 
-  /** A plan for each machine where a task of the job may go, the least loss first. */
+  /** An eviction plan for each machine on which a task of the job may be placed, the least loss first. */
   #plansByLoss(waiting: WaitingJob): EvictionPlan[] {
     const { job } = waiting;
     const plans: EvictionPlan[] = [];
@@ -162,60 +162,61 @@
       const plan = this.#planFor(job, machine);
       if (plan) plans.push(plan);
     }
-    return plans.sort((a, b) => a.loss - b.loss);
+    return plans.sort((a, b) => a.lossCpuS - b.lossCpuS);
   }
 
-  /** What to evict on a machine for one task of the job; undefined when that can't make enough room. */
+  /** The eviction plan on a machine for one task of the job; undefined if evictions can't free enough resources. */
   #planFor(job: Job, machine: PreemptionCandidate): EvictionPlan | undefined {
     this.#machinesExamined += 1;
-    const room = { ...(this.#rooms.get(machine.id) ?? machine.free) };
-    if (fitsInto(job, room)) return { machine, victims: [], loss: 0 };
+    const free = { ...(this.#freeByMachine.get(machine.id) ?? machine.free) };
+    if (fitsInto(job, free)) return { machine, victims: [], lossCpuS: 0 };
     const evictable = machine.tasks.filter((task) => this.#mayEvict(job, task));
     evictable.sort(compareVictims);
     const victims: PreemptibleTask[] = [];
-    let loss = 0;
+    let lossCpuS = 0;
     for (const victim of evictable) {
-      if (fitsInto(job, room)) break;
-      addResources(room, victim.job);
+      if (fitsInto(job, free)) break;
+      addResources(free, victim.job);
       victims.push(victim);
-      loss += victim.lossS * victim.job.cpus;
+      lossCpuS += victim.lossS * victim.job.cpus;
     }
-    return fitsInto(job, room) ? { machine, victims, loss } : undefined;
+    return fitsInto(job, free) ? { machine, victims, lossCpuS } : undefined;
   }
 
   #mayEvict(waiting: Job, victim: PreemptibleTask): boolean {
     if (victim.isBeingEvicted || this.#machineByVictim.has(victim.key)) return false;
     if (PRIORITY_RANK[victim.job.priority] > PRIORITY_RANK[waiting.priority]) return true;
-    // Never a task of a higher priority, though the rules would allow it: room is given by priority first, so that task
-    // would be evicted for the guarantee, then evict the other by its priority, and so on without end.
+    // A guarantee never evicts a task of higher priority. Placement goes by priority first, so after an eviction for the
+    // guarantee that task would evict the other one by its priority, and so on without end.
     if (PRIORITY_RANK[victim.job.priority] < PRIORITY_RANK[waiting.priority]) return false;
-    return this.#isOwedByGuarantee(waiting, victim.job);
+    return this.#isAllowedByGuarantee(waiting, victim.job);
   }
 
-  /** Whether the waiting job's team is below its guarantee, and the victim's team beyond its own. */
-  #isOwedByGuarantee(waiting: Job, victim: Job): boolean {
+  /** Whether the waiting task is within its team's guarantee, and the victim's team is beyond its own. */
+  #isAllowedByGuarantee(waiting: Job, victim: Job): boolean {
     if (victim.team === waiting.team) return false;
     const waitingQuota = this.input.quotas.get(waiting.team);
     const victimQuota = this.input.quotas.get(victim.team);
     if (!waitingQuota || !victimQuota || waitingQuota.cpus === 0) return false;
-    const isOwed = this.#usageOf(waiting.team).cpus + waiting.cpus <= waitingQuota.cpus + RESOURCE_TOLERANCE;
-    return isOwed && this.#usageOf(victim.team).cpus - victim.cpus >= victimQuota.cpus - RESOURCE_TOLERANCE;
+    const isWithin =
+      this.#usageOf(waiting.team).cpus + waiting.cpus <= waitingQuota.cpus + RESOURCE_TOLERANCE;
+    return isWithin && this.#usageOf(victim.team).cpus - victim.cpus >= victimQuota.cpus - RESOURCE_TOLERANCE;
   }
 
-  /** Takes the plan's victims and gives the room to one task of the job. */
+  /** Chooses the plan's victims and assigns the freed resources to one task of the job. */
   #commit(job: Job, { machine, victims }: EvictionPlan): void {
-    const room = this.#rooms.get(machine.id);
-    if (!room) return;
+    const free = this.#freeByMachine.get(machine.id);
+    if (!free) return;
     for (const victim of victims) {
       this.#machineByVictim.set(victim.key, machine.id);
-      addResources(room, victim.job);
+      addResources(free, victim.job);
       const usage = this.#usageOf(victim.job.team);
       this.#usageByTeam.set(victim.job.team, {
         cpus: usage.cpus - victim.job.cpus,
         gpus: usage.gpus - victim.job.gpus,
       });
     }
-    subtractResources(room, job);
+    subtractResources(free, job);
     const usage = this.#usageOf(job.team);
     this.#usageByTeam.set(job.team, { cpus: usage.cpus + job.cpus, gpus: usage.gpus + job.gpus });
   }
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,4 +1,4 @@
-/** @file The rounds of a shard: which concern runs when, and how much time it gets. */
+/** @file The scheduling of a shard: which pass runs when, and within which time budget. */
 import { buildScalingInput } from '../autoscaling/scaling-input';
 import type { InstanceOption, ScalingInput } from '../autoscaling/scaling-plan';
 import type { ControllerContext } from '../controller-context';
@@ -15,8 +15,8 @@
 import { waitingJobs } from './waiting-jobs';
 
 /**
- * The decisions of a shard's rounds: which attempts to issue, and which to evict. Each concern observes the shard, decides
- * on that snapshot, and applies the decision before the next concern observes.
+ * Makes the scheduling decisions of a shard: which attempts to issue, and which to evict. Each pass takes a snapshot of
+ * the shard, decides on it, and applies the decision before the next pass takes its snapshot.
  */
 export class Scheduler {
   readonly #placement: PlacementPass;
@@ -39,12 +39,12 @@
     this.#leaseExpiry = new LeaseExpiry(shard, attempts, context);
   }
 
-  /** The number of tasks that the last rounds found no room for, by job. */
+  /** The number of tasks that the last rounds could not place, by job. */
   get unplaced(): ReadonlyMap<string, number> {
     return this.#placement.unplaced;
   }
 
-  /** What need not be done with every message: passes over all machines, on a clock. */
+  /** Runs the passes over all machines, which need not run in every round. */
   runPeriodicTasks(now: number): void {
     this.#leaseExpiry.assumeRenewedIfRelayed(now);
     evictBeforeSpotNotices(this.shard, this.attempts, now);
@@ -54,7 +54,7 @@
     this.#consolidation.runIfDue(now, this.#placement.isBacklogEmpty);
   }
 
-  /** Finds room for what waits. True: the time was up before all had their turn. */
+  /** Places waiting tasks. Returns whether the time budget was used up before the end of the queue. */
   runRound(now: number): boolean {
     this.attempts.evictSurplus();
     const jobs = waitingJobs(this.shard, this.context.settings.operator.aged_s * 1000, now);
@@ -76,17 +76,17 @@
     return () => clock.now() > endAt;
   }
 
-  /** Some controller relays leases, or has until now: any worker may have been answered just now. */
+  /** Assumes that all workers' leases were renewed just now: a relay is active, or was until now. */
   assumeAllLeasesRenewed(now: number): void {
     this.#leaseExpiry.assumeAllRenewed(now);
   }
 
-  /** Drops all that was on machines whose workers' leases expired. */
+  /** Drops all attempts on machines whose workers' leases have expired. */
   expireLeases(): Promise<void> {
     return this.#leaseExpiry.dropExpired();
   }
 
-  /** The waiting work and the fleet, for scaling; undefined while it isn't known what will find no room. */
+  /** The unplaced tasks and the fleet, for scaling; undefined while it isn't known which tasks can't be placed. */
   scalingInput(isBackedOff: (option: InstanceOption) => boolean): ScalingInput | undefined {
     if (!this.#placement.hasCompleted) return undefined;
     if (!this.shard.areAllMachinesConfirmed && this.unplaced.size === 0) return undefined;
--- a/src/coordination/scheduling/spot-notices.ts
+++ b/src/coordination/scheduling/spot-notices.ts
@@ -1,37 +1,38 @@
-/** @file Evicts the tasks of spot machines that the cloud is about to take back. */
+/** @file Evicts the tasks on spot machines that received a spot interruption notice. */
 import type { Job } from '../../protocol/model';
 import type { AttemptManager } from '../shard/attempt-manager';
 import type { Shard } from '../shard/shard';
 import { jobOccupyingResources, remainingRunS } from './machine-snapshot';
 
-/** Time that must be left between the planned end of a task or of its saving and the end of the machine. */
+/** The least time between the expected end of a task, or of its checkpoint, and the interruption. */
 const NOTICE_MARGIN_MS = 1_500;
 
-/** A task on a machine that the cloud takes back. */
+/** A task on a machine that received a spot interruption notice. */
 export interface TaskUnderSpotNotice {
   readonly job: Job;
-  /** It runs at this moment, so it can still end or save in time; while it fetches its image it has done nothing yet. */
+  /** Whether it is running, so that it can end or write a checkpoint in time. While it fetches its image it can't. */
   readonly isRunning: boolean;
-  /** How long it will run on, as far as estimates tell. */
+  /** The estimated remaining run time. */
   readonly remainingMs: number;
-  /** How long the machine still lives. */
-  readonly noticeMs: number;
+  /** The time until the cloud terminates the machine. */
+  readonly untilInterruptionMs: number;
 }
 
-/** What becomes of a task under notice: it continues for now, or is evicted with time to save. */
+/** Whether the task continues for now, or is evicted with a grace period for writing a checkpoint. */
 export type SpotNoticeAction = { kind: 'continue' } | { kind: 'evict'; graceS: number };
 
-/** Decides whether a task under notice is evicted now. */
+/** Decides whether a task on a machine with a spot interruption notice is evicted now. */
 export function spotNoticeAction(task: TaskUnderSpotNotice): SpotNoticeAction {
-  const { job, isRunning, remainingMs, noticeMs } = task;
-  if (isRunning && remainingMs < noticeMs - NOTICE_MARGIN_MS) return { kind: 'continue' };
+  const { job, isRunning, remainingMs, untilInterruptionMs } = task;
+  if (isRunning && remainingMs < untilInterruptionMs - NOTICE_MARGIN_MS) return { kind: 'continue' };
   const graceS = job.checkpointS > 0 && isRunning ? job.saveS : 0;
-  // A task that can save works on until just before it must; any other is issued again at once.
-  if (graceS > 0 && noticeMs > job.saveS * 1000 + 2 * NOTICE_MARGIN_MS) return { kind: 'continue' };
+  // A task that can write a checkpoint runs on until the latest time for that. Any other task is re-issued at once.
+  if (graceS > 0 && untilInterruptionMs > job.saveS * 1000 + 2 * NOTICE_MARGIN_MS)
+    return { kind: 'continue' };
   return { kind: 'evict', graceS };
 }
 
-/** Drains all machines under notice, and evicts those of their tasks that must go now. */
+/** Drains all machines with a spot interruption notice, and evicts those of their tasks that must not continue. */
 export function evictBeforeSpotNotices(shard: Shard, attempts: AttemptManager, now: number): void {
   for (const machine of shard.machines.values()) {
     if (machine.spotNoticeDeadline === undefined) continue;
@@ -39,13 +40,13 @@
     for (const attempt of machine.attempts.values()) {
       const job = jobOccupyingResources(shard, attempt);
       if (!job || attempt.eviction) continue;
-      const decision = spotNoticeAction({
+      const action = spotNoticeAction({
         job,
         isRunning: attempt.phase === 'running',
         remainingMs: remainingRunS(shard, attempt, job, now) * 1000,
-        noticeMs: machine.spotNoticeDeadline - now,
+        untilInterruptionMs: machine.spotNoticeDeadline - now,
       });
-      if (decision.kind === 'evict') attempts.evict(machine, attempt, decision.graceS);
+      if (action.kind === 'evict') attempts.evict(machine, attempt, action.graceS);
     }
   }
 }
--- a/src/coordination/scheduling/team-quota.ts
+++ b/src/coordination/scheduling/team-quota.ts
@@ -1,8 +1,8 @@
-/** @file Teams' guarantees and upper limits, and whether one more task stays within them. */
+/** @file Teams' guarantees and upper limits, and the checks whether one more task stays within them. */
 import type { Job } from '../../protocol/model';
 import { RESOURCE_TOLERANCE } from './constraints';
 
-/** What a team's running tasks use. */
+/** The resources that a team's tasks occupy, or may occupy. */
 export interface TeamUsage {
   readonly cpus: number;
   readonly gpus: number;
@@ -24,7 +24,7 @@
   );
 }
 
-/** Whether one more task of the job stays within what its team is guaranteed. */
+/** Whether one more task of the job stays within its team's guarantee. */
 export function isWithinGuarantee(job: Job, usage: TeamUsage, quota: TeamQuota): boolean {
   return (
     usage.cpus + job.cpus <= quota.cpus + RESOURCE_TOLERANCE &&
--- a/src/coordination/scheduling/unplaceable-sizes.ts
+++ b/src/coordination/scheduling/unplaceable-sizes.ts
@@ -1,18 +1,18 @@
-/** @file Remembers which sizes of tasks found no room, so that the machines are not examined for them again. */
+/** @file Remembers task sizes that could not be placed, so that the machines are not examined for them again. */
 import type { Resources } from '../../protocol/model';
 import type { WaitingJob } from './job-queue';
 
-/** Sizes that found no room in a round. Room only shrinks during a round, so nothing larger will find any either. */
+/** Task sizes that could not be placed in a round. Free resources only shrink during it, so larger sizes don't fit. */
 export class UnplaceableSizes {
   readonly #sizesByGroup = new Map<string, Resources[]>();
 
-  /** Remembers that a task with these needs found no room. */
+  /** Remembers that a task with these needs could not be placed. */
   add(group: string, needs: Resources): void {
     const sizes = this.#sizesByGroup.get(group) ?? [];
     this.#sizesByGroup.set(group, [...sizes.filter((size) => !isAtLeast(size, needs)), needs]);
   }
 
-  /** Whether a task that needs no more found no room before. */
+  /** Whether a task with the same or smaller needs could not be placed before. */
   has(group: string, needs: Resources): boolean {
     return this.#sizesByGroup.get(group)?.some((size) => isAtLeast(needs, size)) ?? false;
   }
@@ -22,7 +22,7 @@
   return resources.cpus >= bound.cpus && resources.gpus >= bound.gpus && resources.memoryGb >= bound.memoryGb;
 }
 
-/** Whether a task of the job may go to any machine. Only then does its lack of room say something of other jobs. */
+/** Whether tasks of the job may go to any machine. Only then does a failure to place one apply to other jobs, too. */
 export function isUnconstrained({ job, machinesToAvoid }: WaitingJob): boolean {
   const { spot, types, zone, oneZone, spread } = job;
   return spot && types === null && zone === null && !oneZone && !spread && machinesToAvoid.size === 0;
--- a/src/coordination/scheduling/unresponsive-machines.ts
+++ b/src/coordination/scheduling/unresponsive-machines.ts
@@ -1,49 +1,49 @@
-/** @file Chooses machines whose tasks are to be issued again elsewhere, because their heartbeats stopped. */
+/** @file Chooses unresponsive machines whose tasks should be re-issued elsewhere, and those of them to release. */
 
-/** A machine as the choice sees it. */
+/** The state of a machine whose heartbeats are monitored. */
 export interface MonitoredMachine {
   readonly id: string;
   readonly zone: string;
-  /** Steady time of its last heartbeat, or since when one has been expected. */
+  /** Steady time of its last heartbeat, or since when a heartbeat or an answer to a command has been expected. */
   readonly lastHeartbeatAt: number;
   readonly isBusy: boolean;
-  /** Nothing in the shard can be issued before it is known what is on it. */
+  /** Whether jobs of the shard are not placed until the attempts on this machine are known. */
   readonly blocksShard: boolean;
 }
 
-/** A snapshot of the machines, with the times after which missing heartbeats have consequences. */
+/** A snapshot of the machines, and the timeouts for missing heartbeats. */
 export interface UnresponsiveMachinesInput {
   readonly machines: readonly MonitoredMachine[];
   readonly now: number;
-  /** After this long without a heartbeat a machine's tasks are candidates. */
+  /** After this long without a heartbeat a machine is unresponsive: its tasks should be evicted. */
   readonly heartbeatTimeoutMs: number;
-  /** After this long the end of its tasks is confirmed by returning the machine. */
+  /** After this long without a heartbeat a machine is released, which confirms that its tasks have ended. */
   readonly releaseAfterMs: number;
-  /** The same for a machine that blocks the shard. */
+  /** The upper bound of both timeouts for a machine that blocks the shard. */
   readonly blockingMachineTimeoutMs: number;
 }
 
-/** What to do about machines that send no heartbeats. */
+/** The actions for unresponsive machines. */
 export interface UnresponsiveMachinesResult {
-  /** Machines whose tasks should be evicted and issued again, the longest unresponsive first. */
+  /** Machines whose tasks should be evicted and re-issued, the longest unresponsive first. */
   toEvictFrom: string[];
-  /** Those of them to be returned: the quickest way to know that their tasks are gone. */
+  /** Machines to release: the quickest way to confirm that their tasks have ended. */
   toRelease: string[];
 }
 
-/** Up to so many unresponsive machines in one zone, or in all, have failed by themselves. */
+/** Up to this many unresponsive machines, in one zone or in all zones together, count as independent failures. */
 const MAX_INDEPENDENT_FAILURES = 2;
-/** More of them, and more than this share, look like a network partition on our side rather than like their failure. */
+/** More unresponsive machines, and more than this share of all, are taken for a network partition on our side. */
 const PARTITION_SHARE = 0.3;
 
-/** Chooses the machines whose heartbeats stopped through their own failure, and which of them to return. */
+/** Chooses the machines whose heartbeats stopped because they failed, and which of them to release. */
 export function chooseUnresponsiveMachines(input: UnresponsiveMachinesInput): UnresponsiveMachinesResult {
   const unresponsive = input.machines.filter((machine) => isUnresponsive(machine, input));
   unresponsive.sort((a, b) => sinceHeartbeatMs(b, input) - sinceHeartbeatMs(a, input));
-  const failed = withoutPartitions(unresponsive, input.machines);
+  const failed = excludePartitioned(unresponsive, input.machines);
   return {
     toEvictFrom: failed.filter((machine) => machine.isBusy).map((machine) => machine.id),
-    toRelease: failed.filter((machine) => isToBeReturned(machine, input)).map((machine) => machine.id),
+    toRelease: failed.filter((machine) => shouldBeReleased(machine, input)).map((machine) => machine.id),
   };
 }
 
@@ -52,19 +52,21 @@
 }
 
 function isUnresponsive(machine: MonitoredMachine, input: UnresponsiveMachinesInput): boolean {
-  const { heartbeatTimeoutMs, blockingMachineTimeoutMs: shardBlockedMs } = input;
-  const limitMs = machine.blocksShard ? Math.min(heartbeatTimeoutMs, shardBlockedMs) : heartbeatTimeoutMs;
+  const { heartbeatTimeoutMs, blockingMachineTimeoutMs } = input;
+  const limitMs = machine.blocksShard
+    ? Math.min(heartbeatTimeoutMs, blockingMachineTimeoutMs)
+    : heartbeatTimeoutMs;
   return sinceHeartbeatMs(machine, input) > limitMs;
 }
 
-function isToBeReturned(machine: MonitoredMachine, input: UnresponsiveMachinesInput): boolean {
-  const { releaseAfterMs: returnAfterMs, blockingMachineTimeoutMs: shardBlockedMs } = input;
-  const limitMs = machine.blocksShard ? Math.min(shardBlockedMs, returnAfterMs) : returnAfterMs;
+function shouldBeReleased(machine: MonitoredMachine, input: UnresponsiveMachinesInput): boolean {
+  const { releaseAfterMs, blockingMachineTimeoutMs } = input;
+  const limitMs = machine.blocksShard ? Math.min(blockingMachineTimeoutMs, releaseAfterMs) : releaseAfterMs;
   return sinceHeartbeatMs(machine, input) > limitMs;
 }
 
-/** The unresponsive machines, without those that a partition may have cut off. */
-function withoutPartitions(
+/** The unresponsive machines, without those that a network partition may separate from us. */
+function excludePartitioned(
   unresponsive: readonly MonitoredMachine[],
   all: readonly MonitoredMachine[],
 ): MonitoredMachine[] {
@@ -78,6 +80,6 @@
   return machines.filter((machine) => machine.zone === zone).length;
 }
 
-function looksLikePartition(unresponsive: number, all: number): boolean {
-  return unresponsive > MAX_INDEPENDENT_FAILURES && unresponsive > all * PARTITION_SHARE;
+function looksLikePartition(unresponsiveCount: number, totalCount: number): boolean {
+  return unresponsiveCount > MAX_INDEPENDENT_FAILURES && unresponsiveCount > totalCount * PARTITION_SHARE;
 }
