--- a/src/coordination/shard/worker-commands.ts
+++ b/src/coordination/shard/worker-commands.ts
@@ -1,17 +1,17 @@
-/** @file The commands that make a machine's worker do what is wanted of it. */
+/** @file Computes the commands that bring a machine's attempts to their desired state. */
 import type { WorkerCommand } from '../../protocol/model';
 import type { Attempt } from './attempt';
 import type { DispatchTable } from './dispatch-table';
 import type { Machine } from './machine';
 
-const MAX_COMMANDS = 200;
+const MAX_COMMANDS_PER_MESSAGE = 200;
 
-/** Whether the commands include starts. */
+/** Whether to include start commands. */
 export type StartPolicy = 'with starts' | 'without starts';
 
 /**
- * The difference between what is wanted of the machine and what is on it. Starts go by command only, never in the answer
- * to a heartbeat: a command's answer shows what became of them.
+ * The commands that bring the attempts on the machine to their desired state. Starts are only sent in command requests,
+ * never in the response to a heartbeat, because the response to a command request reports their results.
  */
 export function commandsFor(
   machine: Machine,
@@ -20,7 +20,7 @@
 ): WorkerCommand[] {
   const commands: WorkerCommand[] = [];
   for (const attempt of machine.attempts.values()) {
-    if (commands.length >= MAX_COMMANDS) break;
+    if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
     const op = wantedOperation(machine, attempt, tables);
     if (op === undefined || (op === 'start' && startPolicy === 'without starts')) continue;
     commands.push(command(op, attempt));
@@ -34,7 +34,9 @@
   tables: ReadonlyMap<string, DispatchTable>,
 ): WorkerCommand['op'] | undefined {
   if (attempt.phase === 'exited') {
-    return isSettled(attempt, tables) && machine.worker.isSafeToForget(attempt) ? 'forget' : undefined;
+    return isOutcomeRecorded(attempt, tables) && machine.worker.isSafeToForget(attempt)
+      ? 'forget'
+      : undefined;
   }
   if (attempt.eviction) {
     const isSaving = attempt.phase === 'checkpointing' && attempt.eviction.graceS > 0;
@@ -43,8 +45,8 @@
   return attempt.wasStartSent ? undefined : 'start';
 }
 
-/** A completion is forgotten only once it is recorded: until then only the worker remembers it. */
-function isSettled(attempt: Attempt, tables: ReadonlyMap<string, DispatchTable>): boolean {
+/** False for a completion that is not recorded yet: until then the worker alone stores it. */
+function isOutcomeRecorded(attempt: Attempt, tables: ReadonlyMap<string, DispatchTable>): boolean {
   if (attempt.exitCause !== 'done') return true;
   const table = tables.get(attempt.job);
   return !table || table.recorded.has(attempt.task);
