--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -128,14 +128,14 @@
     let unplacedCount = count;
     while (unplacedCount > 0) {
       const countBefore = unplacedCount;
-      unplacedCount = this.#planPass(waiting, unplacedCount);
+      unplacedCount = this.#preemptInOnePass(waiting, unplacedCount);
       if (unplacedCount === countBefore) break;
     }
     return unplacedCount;
   }
 
   /** One pass over all machines, the least loss first. A machine is examined again only after a task was placed there. */
-  #planPass(waiting: WaitingJob, count: number): number {
+  #preemptInOnePass(waiting: WaitingJob, count: number): number {
     const { job } = waiting;
     let unplacedCount = count;
     for (const first of this.#plansByLoss(waiting)) {
