--- a/src/coordination/scheduling/eager-reissue.ts
+++ b/src/coordination/scheduling/eager-reissue.ts
@@ -5,11 +5,7 @@
 import type { Machine } from '../shard/machine';
 import type { Shard } from '../shard/shard';
 import { fitsInto, isEligible } from './constraints';
-import {
-  chooseUnresponsiveMachines,
-  type UnresponsiveMachinesResult,
-  type MonitoredMachine,
-} from './unresponsive-machines';
+import { chooseUnresponsiveMachines, type UnresponsiveMachinesResult, type MonitoredMachine } from './eager';
 import {
   jobOccupyingResources,
   snapshotMachine,
--- a/test/scaling-plan.test.ts
+++ b/test/scaling-plan.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { chooseConsolidation } from '../src/coordination/scheduling/consolidation';
-import { chooseUnresponsiveMachines } from '../src/coordination/scheduling/unresponsive-machines';
+import { chooseUnresponsiveMachines } from '../src/coordination/scheduling/eager';
 import { planScaling, type ScalingInput } from '../src/coordination/autoscaling/scaling-plan';
 import { job, machineWithFreeCpus, type } from './scheduling-inputs';
 
