--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -1,15 +1,15 @@
-/** @file Time, and a signal that wakes a loop ahead of its time. */
+/** @file The clock, and a signal that ends the wait of a loop early. */
 import { performance } from 'node:perf_hooks';
 import { setTimeout as delay } from 'node:timers/promises';
 
 /**
- * Time as the service sees it. `now` is steady (milliseconds) and is all that safety may rest on;
- * `date` is the time of day, which wanders, and serves submission times and ageing only.
+ * The time source of the service. `now` is monotonic, in milliseconds; every safety guarantee uses it alone. `date` is
+ * the wall clock, which drifts and may jump; it is used only for stored times, such as a job's submission, and for ages.
  */
 export interface Clock {
   now(): number;
   date(): Date;
-  /** Resolves after the time, or as soon as the signal is aborted. */
+  /** Resolves after the given time, or as soon as the signal is aborted. */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
@@ -25,25 +25,25 @@
 };
 
 /**
- * Resolves when woken, or after the given time at the latest; remembers a wake that came before the wait. A sleep that a
- * wake cut short goes on and serves the next wait: ended and begun anew for each of the hundreds of wakes a second, its
- * timer and the error of its end cost more than what the wake was for (docs/PERFORMANCE.md).
+ * Ends the wait of a loop when woken, or after a timeout; a wake before the wait ends that wait at once. A wake does not
+ * cancel the timer of the wait: it keeps running, and is the timeout of the next wait. With hundreds of wakes a second,
+ * aborting and restarting the timer cost more than the work that followed the wakes (docs/PERFORMANCE.md).
  */
 export class WakeSignal {
   #isWoken = false;
   #isSleeping = false;
-  /** Ends the present wait. */
+  /** Ends the current wait; undefined when there is none. */
   #resolve: (() => void) | undefined;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Ends the present wait, or the next one at once. */
+  /** Ends the current wait, or the next one immediately. */
   wake(): void {
     this.#isWoken = true;
     this.#resolve?.();
   }
 
-  /** Waits to be woken; for one caller at a time. */
+  /** Waits for a wake, at most the given time. Only one caller may wait at a time. */
   async wait(ms: number): Promise<void> {
     if (!this.#isWoken) {
       if (!this.#isSleeping) void this.#sleep(ms);
--- a/src/base/event-loop-delay.ts
+++ b/src/base/event-loop-delay.ts
@@ -1,51 +1,50 @@
-/** @file Measures how late the event loop runs, and says what work to shed under overload. */
+/** @file Measures the event-loop delay, and decides which work to shed under overload. */
 import type { Clock } from './clock';
 
 const PROBE_INTERVAL_MS = 100;
-/** Share of the earlier delay that the next measurement keeps: one quick turn does not mean that the overload is over. */
-const DECAY = 0.7;
+/** Decay of the measured delay at each probe: one short delay does not mean that the overload has ended. */
+const DECAY_FACTOR = 0.7;
 /** From this delay on consolidation and eager re-issue are shed. */
 const SHED_OPTIMIZATION_MS = 250;
 /** From this delay on there is no scale-out. */
 const SHED_SCALE_OUT_MS = 1_000;
-/** From this delay on submissions are refused: users wait 5 s for an answer, and would get it late anyway. */
+/** From this delay on submissions are refused: users wait 5 s for a response, and would receive it too late anyway. */
 const SHED_SUBMISSIONS_MS = 2_000;
 
 /**
- * The event-loop delay of this process: by how much a timer fires after its time. When the process gets too little of
- * a core, load is shed in this order: work that only saves money or time (consolidation, eager re-issue), then scale-out,
- * then new submissions, which are answered at once with the time after which to retry. Placement rounds are bounded by
- * their time budget. Lease renewals, workers' heartbeats, commands, the health endpoint `/up` and peer messages are never
- * shed.
+ * The event-loop delay of this process: how late a timer fires. When the process gets too little CPU, load is shed in
+ * this order: work that only saves money or time (consolidation, eager re-issue), then scale-out, then new submissions,
+ * which are answered at once with the time after which to retry. Placement rounds are bounded by their time budget. Lease
+ * renewals, workers' heartbeats, commands, the health endpoint `/up` and peer messages are never shed.
  */
 export class EventLoopDelay {
   #delayMs = 0;
 
   constructor(private readonly clock: Clock) {}
 
-  /** One probe; to be run in a loop. */
+  /** Measures the delay once; run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
     const startedAt = this.clock.now();
     await this.clock.sleep(PROBE_INTERVAL_MS, signal);
-    this.#delayMs = Math.max(this.clock.now() - startedAt - PROBE_INTERVAL_MS, this.#delayMs * DECAY);
+    this.#delayMs = Math.max(this.clock.now() - startedAt - PROBE_INTERVAL_MS, this.#delayMs * DECAY_FACTOR);
   }
 
-  /** The latest delay, which decays after an overload. */
+  /** The measured delay, which decays after an overload. */
   get delayMs(): number {
     return this.#delayMs;
   }
 
-  /** Whether there is time for consolidation and eager re-issue. */
+  /** Whether the delay is short enough for consolidation and eager re-issue. */
   get allowsOptimization(): boolean {
     return this.#delayMs < SHED_OPTIMIZATION_MS;
   }
 
-  /** Whether there is time for scale-out. */
+  /** Whether the delay is short enough for scale-out. */
   get allowsScaleOut(): boolean {
     return this.#delayMs < SHED_SCALE_OUT_MS;
   }
 
-  /** Whether there is time for new submissions. */
+  /** Whether the delay is short enough for new submissions. */
   get allowsSubmissions(): boolean {
     return this.#delayMs < SHED_SUBMISSIONS_MS;
   }
--- a/src/base/log.ts
+++ b/src/base/log.ts
@@ -1,18 +1,18 @@
 /** @file Structured log lines on standard error. */
 import pino from 'pino';
 
-/** Where the parts of a controller write their log lines. */
+/** The logger that the components of a controller use. */
 export type Log = Pick<pino.Logger, 'error' | 'warn' | 'info' | 'debug'>;
 
-/** Keys that every line has already, apart from its fields. */
+/** Keys that the logger itself writes; `node` only where it is given. */
 const RESERVED_KEYS = ['level', 'time', 'node', 'msg'] as const;
 
-/** The fields of a line, apart from its message. */
+/** The fields of a log call. */
 type Fields = Record<string, unknown>;
 
 /**
- * The fields of a line without the reserved keys: JSON with a key twice means different things to different readers. A
- * field of such a name with another value is kept under a name of its own.
+ * Renames fields with a reserved key to `field_<key>`, because JSON parsers disagree on duplicate keys. A `node` field
+ * with the same value as the logger's own is dropped.
  */
 function withoutReservedKeys(fields: Fields, node: string | undefined): Fields {
   const reserved = RESERVED_KEYS.filter((key) => key in fields && (key !== 'node' || node !== undefined));
@@ -27,8 +27,8 @@
 }
 
 /**
- * Creates a log of structured lines. Times of day are written in full, so that lines of several controllers can be
- * merged. Writes to standard error, unless a destination is given.
+ * Creates a structured log. Timestamps contain date and time, so that the logs of several controllers can be merged.
+ * Writes to standard error, unless a destination is given.
  */
 export function createLog(
   level: string,
@@ -46,7 +46,7 @@
   );
 }
 
-/** The level that the environment asks for; `info` where it asks for no known one. */
+/** The log level from the environment variable; `info` unless it is `error` or `debug`. */
 export function levelFromEnv(value: string | undefined): string {
   return value === 'error' || value === 'debug' ? value : 'info';
 }
--- a/src/base/loop.ts
+++ b/src/base/loop.ts
@@ -1,18 +1,18 @@
-/** @file Loops that run until a signal, whatever their steps throw. */
+/** @file Loops that run until they are aborted, also when a step throws. */
 import type { Clock } from './clock';
 import type { Log } from './log';
 
-/** What a loop is given. */
+/** The services that a loop uses. */
 export interface LoopContext {
   readonly clock: Clock;
   readonly log: Log;
-  /** Ends the loop after the step that runs. */
+  /** Ends the loop after the current step. */
   readonly signal: AbortSignal;
 }
 
 const PAUSE_AFTER_ERROR_MS = 500;
 
-/** Repeats a step until the signal. A step that throws is logged; the loop goes on after a pause. */
+/** Repeats a step until the signal is aborted. An error is logged, and the loop continues after a pause. */
 export async function runLoop(
   name: string,
   step: () => Promise<void>,
@@ -23,13 +23,13 @@
     try {
       await step();
     } catch (error) {
-      log.warn({ loop: name, err: describeError(error) }, 'a loop step failed; it goes on');
+      log.warn({ loop: name, err: describeError(error) }, 'loop step failed');
       await clock.sleep(pauseAfterErrorMs, signal);
     }
   }
 }
 
-/** An error as one line of a log. */
+/** Describes an error as the value of a log field. */
 export function describeError(error: unknown): string {
   return error instanceof Error ? `${error.name}: ${error.message}` : String(error);
 }
--- a/src/base/operator-table.ts
+++ b/src/base/operator-table.ts
@@ -1,11 +1,11 @@
-/** @file Tables of the operators' file that belong to one package each. */
+/** @file Reads tables of the operators' settings file that are defined by one package each. */
 import type * as z from 'zod';
 import type { Settings } from './settings';
 import { checkSettings, SettingsError } from './settings-schema';
 
 /**
- * Reads and checks a table; undefined where the file has none. `findProblem` returns the key at fault and what is wrong
- * with it, where values don't go together. Throws `SettingsError` with the file and the key.
+ * Reads and checks a table; undefined when the file has none. `findProblem` checks values that depend on each other, and
+ * returns the key at fault with the reason. Throws `SettingsError` with the file and the key.
  */
 export function readOperatorTable<T>(
   name: 'admission' | 'suspicion',
--- a/src/base/random.ts
+++ b/src/base/random.ts
@@ -1,15 +1,15 @@
-/** @file Randomness. */
+/** @file Random names. */
 import { randomBytes } from 'node:crypto';
 
 const NAME_BYTES = 12;
 
-/** Randomness as the service uses it; injected so that simulations repeat. */
+/** The source of randomness; injected so that simulations are reproducible. */
 export interface Random {
-  /** A name that no controller ever gives twice. */
+  /** Creates a name that is unique among all controllers, at all times. */
   uniqueName(): string;
 }
 
-/** The randomness of the system. */
+/** The system's cryptographic source of randomness. */
 export const systemRandom: Random = {
   uniqueName: () => randomBytes(NAME_BYTES).toString('hex'),
 };
--- a/src/base/settings-files.ts
+++ b/src/base/settings-files.ts
@@ -1,4 +1,4 @@
-/** @file Reads the settings from their files. */
+/** @file Reads the settings files. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import { makeSettings, type Settings } from './settings';
@@ -24,7 +24,7 @@
   }
 }
 
-/** Reads and checks the platform's file, and the operators' where there is one. Throws `SettingsError`. */
+/** Reads and checks the platform's file, and the operators' file if there is one. Throws `SettingsError`. */
 export function readSettings(platformFile: string, operatorFile?: string): Settings {
   const operator = operatorFile === undefined ? {} : readToml(operatorFile);
   return makeSettings(readToml(platformFile), operator, [platformFile, operatorFile ?? 'defaults']);
--- a/src/base/settings-schema.ts
+++ b/src/base/settings-schema.ts
@@ -1,8 +1,8 @@
-/** @file The settings as the platform and the operators write them, and their check. */
+/** @file The schemas of the platform's and the operators' settings, and their validation. */
 import * as z from 'zod';
 import type { StateLimits } from './state-limits';
 
-/** A setting that can't be used; the message names the field and the file in one line. */
+/** An invalid setting; the message names the field and the file in one line. */
 export class SettingsError extends Error {
   override name = 'SettingsError';
 }
@@ -32,7 +32,7 @@
   write_rps: z.number().positive(),
   value_kb: z.number().positive(),
   txn_ops: z.int().min(8),
-  /** Limits that the service will have from some moment on; see `readNextLimits`. */
+  /** Limits that will come into force at some later time; see `readNextLimits`. */
   next: z.unknown().optional(),
 });
 
@@ -42,7 +42,7 @@
   fd_limit: z.int().min(32).default(1024),
 });
 
-/** The file that the platform hands over. Fields that it may have beyond these are ignored. */
+/** The settings file that the platform provides. Unknown fields are ignored. */
 export const platformSchema = z.object({
   node: name,
   area: name,
@@ -76,15 +76,15 @@
   aged_s: seconds.default(100),
   aged_share: z.number().min(0).max(1).default(0.2),
   rent_patience: z.number().min(0).default(2),
-  /** Checked by the package that it belongs to, `src/admission`. */
+  /** Checked by `src/admission`, which defines this table. */
   admission: z.unknown().optional(),
-  /** Checked by the package that it belongs to, `src/suspicion`. */
+  /** Checked by `src/suspicion`, which defines this table. */
   suspicion: z.unknown().optional(),
 });
 
 type PlatformFile = z.infer<typeof platformSchema>;
 
-/** The platform's settings, with the limits of the key-value store that are in force. */
+/** The platform's settings, with the effective limits of the key-value store. */
 export type PlatformSettings = Omit<PlatformFile, 'deployment'> & {
   deployment: Omit<PlatformFile['deployment'], 'state'> & { state: StateLimits };
 };
@@ -92,7 +92,7 @@
 /** The operators' settings. */
 export type OperatorSettings = z.infer<typeof operatorSchema>;
 
-/** Checks settings against their schema; `parents` is where in the file they stand. */
+/** Checks settings against their schema; `parents` is the path of the value in the file. */
 export function checkSettings<T>(
   schema: z.ZodType<T>,
   value: unknown,
--- a/src/base/settings.ts
+++ b/src/base/settings.ts
@@ -1,4 +1,4 @@
-/** @file The settings of a controller: what the platform and the operators wrote, and what follows from it. */
+/** @file The settings of a controller: those of the platform and the operators, and the values derived from them. */
 import {
   checkSettings,
   operatorSchema,
@@ -11,67 +11,68 @@
 import { effectiveLimits, readNextLimits, type StateLimits } from './state-limits';
 import { throttlingFor, type Throttling } from './throttling';
 
-/** The checked settings, and what follows from them. */
+/** The checked settings, and the values derived from them. */
 export interface Settings {
-  /** As the platform handed it over, except that `deployment.state` has the limits in force. */
+  /** As the platform provided it, except that `deployment.state` has the effective limits. */
   platform: PlatformSettings;
   operator: OperatorSettings;
   /** The name of the operators' file, for messages. */
   operatorFile: string;
-  /** Longest time that a controller may act on a shard without a response of the key-value store. */
+  /** Longest time that a controller may act on a shard without a response from the key-value store. */
   shardLeaseMs: number;
   /**
-   * How long after the owner has seen a cancellation it may go on answering a worker that a start of that job may still
-   * reach: the shard lease (until the owner sees it), this and the worker's lease are together under `cancel_s`.
+   * How long after seeing a cancellation the owner may still renew the lease of a worker with an unconfirmed start of that
+   * job. The shard lease (within which the owner sees the cancellation), this time and the worker's lease add up to less
+   * than `cancel_s`.
    */
   cancellationUncertaintyMs: number;
   sockets: SocketShares;
-  /** What follows from the share of a core, with the operators' own values where there are any. */
+  /** Limits derived from the share of a core; the operators' own values take precedence. */
   throttling: Throttling;
   /** Lower limits of the key-value store that the platform has announced; undefined where it has announced none. */
   nextStateLimits: Partial<StateLimits> | undefined;
-  /** What may not suffice, by the name of the setting. */
+  /** Warnings on values that are ignored or may be too small; each names the setting. */
   warnings: string[];
 }
 
 const MAX_SHARD_LEASE_MS = 30_000;
 const DEFAULT_SHARD_LEASE_MS = 5_000;
-/** Left over between the last moment of a cut-off owner's tasks and the bound on cancellations. */
+/** Margin between the end of a partitioned owner's last task and the time limit for cancellations. */
 const CANCEL_MARGIN_MS = 4_000;
-/** A lease extension that peers grant an owner (`LeaseExtension`) binds for this long. */
+/** Duration of a lease extension that peers grant an owner (`LeaseExtension`). */
 export const LEASE_EXTENSION_MS = 2_500;
 const MIN_SHARD_LEASE_MS = 2_000;
-/** For timers and messages in flight, where a sum of times has to stay under the bound on cancellations. */
+/** Margin for late timers and messages in flight in a sum that must stay below the time limit for cancellations. */
 const IN_FLIGHT_MARGIN_MS = 1_000;
-/** With the runtime's flags as `deploy/service.toml` has them; figures in docs/PERFORMANCE.md. */
+/** Enough for 600 machines with the runtime flags in `deploy/service.toml`; figures in docs/PERFORMANCE.md. */
 const MIN_MEMORY_MB = 100;
-/** Connections that a controller can't do without: a few workers, users and the health probe. */
+/** The fewest connections with which a controller can work: a few workers, users and the health probe. */
 const MIN_INBOUND_CONNECTIONS = 16;
 
-/** The shard lease in milliseconds: the operators', or one that follows from the workers' lease. */
+/** The shard lease in milliseconds: set by the operators, or derived from the workers' lease. */
 function chooseShardLease(
   { lease_s, cancel_s }: PlatformSettings['deployment']['workers'],
   operator: OperatorSettings,
   [platformFile, operatorFile]: SettingsFiles,
 ): number {
-  // A cut-off owner may answer workers until its lease ends, and their tasks live one worker lease longer.
-  // A cancellation that it can't see must still hold: shard lease + worker lease + margin <= cancel_s.
-  const longest = Math.min(MAX_SHARD_LEASE_MS, (cancel_s - lease_s) * 1000 - CANCEL_MARGIN_MS);
-  if (longest < MIN_SHARD_LEASE_MS) {
+  // A partitioned owner may renew workers' leases until its own lease ends, and their tasks run for one worker lease more.
+  // A cancellation that it can't see must take effect in time nevertheless: shard lease + worker lease + margin <= cancel_s.
+  const maxMs = Math.min(MAX_SHARD_LEASE_MS, (cancel_s - lease_s) * 1000 - CANCEL_MARGIN_MS);
+  if (maxMs < MIN_SHARD_LEASE_MS) {
     throw new SettingsError(`${platformFile}: deployment.workers.cancel_s: leaves no time for a block lease`);
   }
-  // Shorter by default: a failover should be over while the workers of a failed owner still hold their leases.
-  const usual = Math.min(DEFAULT_SHARD_LEASE_MS, (lease_s * 1000) / 2, longest);
-  const wanted =
+  // Shorter by default, so that a failover completes before the leases of the failed owner's workers expire.
+  const defaultMs = Math.min(DEFAULT_SHARD_LEASE_MS, (lease_s * 1000) / 2, maxMs);
+  const leaseMs =
     operator.block_lease_s === undefined
-      ? Math.max(usual, MIN_SHARD_LEASE_MS)
+      ? Math.max(defaultMs, MIN_SHARD_LEASE_MS)
       : operator.block_lease_s * 1000;
-  if (wanted > longest || wanted < MIN_SHARD_LEASE_MS) {
+  if (leaseMs > maxMs || leaseMs < MIN_SHARD_LEASE_MS) {
     throw new SettingsError(
-      `${operatorFile}: block_lease_s: must lie between ${MIN_SHARD_LEASE_MS / 1000} and ${longest / 1000}`,
+      `${operatorFile}: block_lease_s: must lie between ${MIN_SHARD_LEASE_MS / 1000} and ${maxMs / 1000}`,
     );
   }
-  return Math.floor(wanted);
+  return Math.floor(leaseMs);
 }
 
 function chooseSockets({ deployment, others }: PlatformSettings, platformFile: string): SocketShares {
@@ -108,7 +109,7 @@
 /** The names of the platform's and the operators' files, for messages. */
 type SettingsFiles = readonly [platform: string, operator?: string];
 
-/** Checks settings that were read, and works out what follows from them. */
+/** Checks settings that were read, and derives the other values from them. */
 export function makeSettings(
   platform: unknown,
   operator: unknown,
@@ -120,9 +121,9 @@
   const { workers, state, quota } = checked.deployment;
   const shardLeaseMs = chooseShardLease(workers, options, files);
   const next = readNextLimits(state.next);
-  // Within this time an owner has seen a cancellation, or has stopped. At least 2.5 s are left, by the bound on the
-  // shard lease.
-  const seenWithinMs = Math.max(shardLeaseMs, LEASE_EXTENSION_MS);
+  // Within this time an owner either sees a cancellation or stops acting on the shard. The bounds on the shard lease
+  // leave at least 2.5 s for `cancellationUncertaintyMs`.
+  const cancellationSeenWithinMs = Math.max(shardLeaseMs, LEASE_EXTENSION_MS);
   return {
     platform: {
       ...checked,
@@ -132,7 +133,7 @@
     operatorFile,
     shardLeaseMs,
     cancellationUncertaintyMs:
-      (workers.cancel_s - workers.lease_s) * 1000 - seenWithinMs - IN_FLIGHT_MARGIN_MS,
+      (workers.cancel_s - workers.lease_s) * 1000 - cancellationSeenWithinMs - IN_FLIGHT_MARGIN_MS,
     sockets: chooseSockets(checked, platformFile),
     throttling: chooseThrottling(checked, options),
     nextStateLimits: next?.limits,
--- a/src/base/sockets.ts
+++ b/src/base/sockets.ts
@@ -1,57 +1,58 @@
-/** @file How a controller's sockets are shared out, so that no use of them can starve another. */
+/** @file Allocates a controller's sockets to their uses, so that no use can starve another. */
 
-/** How many sockets each use may hold. */
+/** The number of sockets for each use. */
 export interface SocketShares {
-  /** Connections that come in on the public address, all together. */
+  /** All inbound connections on the public address. */
   readonly inbound: number;
-  /** Of these, how many workers may hold. What is left over is always the users' and the health probe's. */
+  /** The part of `inbound` that workers may use. The rest is reserved for users and the health probe. */
   readonly workers: number;
-  /** Inbound connections that the system holds until the process accepts them. */
+  /** Inbound connections that the system queues until the process accepts them. */
   readonly backlog: number;
   /** Commands that may be in flight at once. */
   readonly commands: number;
-  /** Outbound connections that may always lie idle, to be used again; see `idleNow`. */
+  /** Idle outbound connections that may always stay open for reuse; see `maxIdleConnections`. */
   readonly idle: number;
-  /** Calls to the key-value store, and as many to the cloud. */
+  /** Connections to the key-value store, and the same number to the cloud. */
   readonly external: number;
 }
 
-/** Files that a process holds besides, and connections that the system has not released yet. */
+/** File descriptors of other open files, and of connections that the system has not released yet. */
 const OTHER_DESCRIPTORS = 32;
-/** To and from each peer; as many again that an end or a cut left half open. */
-const PER_PEER = 4;
+/** One connection in each direction, and as many half-open ones after a peer's crash or a network partition. */
+const SOCKETS_PER_PEER = 4;
 const MAX_EXTERNAL = 24;
-const EXTERNAL_PART = 1 / 16;
-const COMMANDS_PART = 1 / 10;
-const IDLE_PART = 1 / 20;
+const EXTERNAL_SHARE = 1 / 16;
+const COMMANDS_SHARE = 1 / 10;
+const IDLE_SHARE = 1 / 20;
 /**
- * When an owner has failed its workers all connect at once. A connection that waits here for longer than its worker does
- * is answered too late, and delays the next in line: after a while no worker is served in time. So few wait, and the
- * others are refused by the system, at no cost to this process, and connect again a second later.
+ * When an owner has failed, its workers all connect at once. A connection that stays in the backlog for longer than its
+ * worker waits is answered too late, and delays those behind it, until no worker is served in time. A short backlog avoids
+ * this: the system refuses the other connections at no cost to this process, and the workers retry a second later.
  */
 const MAX_BACKLOG = 128;
-const BACKLOG_PART = 1 / 16;
-const WORKERS_PART = 7 / 8;
+const BACKLOG_SHARE = 1 / 16;
+const WORKERS_SHARE = 7 / 8;
 
 /**
- * One shard's owner holds a connection of each of its machines. The more outbound connections stay open, the fewer
- * sockets are left for that; so commands use few, and what they leave idle makes way as workers connect.
+ * Allocates the sockets. The owner of a shard has a connection from each of its machines, and each open outbound
+ * connection leaves one socket fewer for these. So commands use few connections, and idle ones are closed as workers
+ * connect.
  */
 export function allocateSockets(fileLimit: number, peers: number): SocketShares {
-  const commands = Math.floor(fileLimit * COMMANDS_PART);
-  const idle = Math.floor(fileLimit * IDLE_PART);
-  const external = Math.min(MAX_EXTERNAL, Math.floor(fileLimit * EXTERNAL_PART));
-  const backlog = Math.min(MAX_BACKLOG, Math.floor(fileLimit * BACKLOG_PART));
+  const commands = Math.floor(fileLimit * COMMANDS_SHARE);
+  const idle = Math.floor(fileLimit * IDLE_SHARE);
+  const external = Math.min(MAX_EXTERNAL, Math.floor(fileLimit * EXTERNAL_SHARE));
+  const backlog = Math.min(MAX_BACKLOG, Math.floor(fileLimit * BACKLOG_SHARE));
   const outbound = commands + idle + 2 * external;
-  const inbound = fileLimit - OTHER_DESCRIPTORS - PER_PEER * peers - outbound - backlog;
-  const workers = Math.floor(inbound * WORKERS_PART);
+  const inbound = fileLimit - OTHER_DESCRIPTORS - SOCKETS_PER_PEER * peers - outbound - backlog;
+  const workers = Math.floor(inbound * WORKERS_SHARE);
   return { inbound, backlog, workers, commands, idle, external };
 }
 
 /**
- * How many outbound connections may lie idle at this moment: what those that are open inbound leave of the workers'
- * share, less a reserve for those to come. To open one anew for a command costs several times the command, so no more are
- * closed than must be (docs/PERFORMANCE.md).
+ * The number of outbound connections that may be idle now: the fixed number, and the part of the workers' share that open
+ * inbound connections don't use. The rest of `inbound` stays free for connections to come. Opening a connection costs
+ * several times as much as sending a command over it, so no more are closed than necessary (docs/PERFORMANCE.md).
  */
 export function maxIdleConnections({ idle, workers }: SocketShares, openInbound: number): number {
   return idle + Math.max(0, workers - openInbound);
--- a/src/base/state-limits.ts
+++ b/src/base/state-limits.ts
@@ -1,8 +1,8 @@
-/** @file The limits of the key-value store that are to be obeyed. */
+/** @file The effective limits of the key-value store. */
 
 /**
- * Limits of the key-value store. The platform may announce lower ones that come into force at an unknown moment; a
- * controller therefore obeys the smaller of the two from its start.
+ * Limits of the key-value store. The platform may announce lower ones that come into force at an unknown time; a
+ * controller therefore applies the lower of the two from its start.
  */
 export interface StateLimits {
   /** Requests a second, all controllers together. */
@@ -19,11 +19,11 @@
 
 const BYTES_PER_KB = 1024;
 /** The acquisition of a shard needs this many changes in one transaction. */
-const MIN_CHANGES = 3;
-/** Part of one second's changes that a transaction may take: one that needs all of them may never get its turn. */
-const TRANSACTION_PART = 0.5;
+const MIN_TRANSACTION_CHANGES = 3;
+/** The largest share of one second's changes in one transaction: one that needs all of them may wait forever. */
+const MAX_TRANSACTION_SHARE = 0.5;
 
-/** How a limit is read from the announcement; undefined when the field can't be used. */
+/** Reads a limit from the announcement; undefined when the field is invalid. */
 const readLimit: Record<LimitName, (value: unknown) => number | undefined> = {
   rps: positive,
   write_rps: positive,
@@ -33,7 +33,7 @@
 
 const LIMIT_NAMES = Object.keys(readLimit) as LimitName[];
 
-/** The part of an announcement that can be used, and the names of the fields that can't. */
+/** The valid limits of an announcement, and the names of the invalid fields. */
 export interface NextLimits {
   limits: Partial<StateLimits>;
   unusable: string[];
@@ -47,7 +47,7 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value) && !(value instanceof Date);
 }
 
-/** Reads announced limits leniently; undefined when there is no table of them. */
+/** Reads announced limits, skipping invalid ones; undefined when there is no table of them. */
 export function readNextLimits(announced: unknown): NextLimits | undefined {
   if (!isTable(announced)) return undefined;
   const next: NextLimits = { limits: {}, unusable: [] };
@@ -60,9 +60,9 @@
   return next;
 }
 
-/** The limits to obey: field by field the smaller of those of now and those announced. */
-export function effectiveLimits(now: StateLimits, next: Partial<StateLimits> = {}): StateLimits {
-  const smaller = (name: LimitName): number => Math.min(now[name], next[name] ?? Infinity);
+/** The limits to apply: for each field the lower of the current and the announced limit. */
+export function effectiveLimits(current: StateLimits, next: Partial<StateLimits> = {}): StateLimits {
+  const smaller = (name: LimitName): number => Math.min(current[name], next[name] ?? Infinity);
   return {
     rps: smaller('rps'),
     write_rps: smaller('write_rps'),
@@ -81,8 +81,8 @@
   return Math.floor(value_kb * BYTES_PER_KB);
 }
 
-/** How many changes one transaction may hold, of those that its writer wants to make at once. */
+/** The most changes that one transaction may contain, at most the number that its writer wants. */
 export function maxChangesPerTransaction({ txn_ops, write_rps }: StateLimits, wanted = Infinity): number {
-  const withinRate = Math.max(MIN_CHANGES, Math.floor(write_rps * TRANSACTION_PART));
+  const withinRate = Math.max(MIN_TRANSACTION_CHANGES, Math.floor(write_rps * MAX_TRANSACTION_SHARE));
   return Math.min(wanted, txn_ops, withinRate);
 }
--- a/src/base/throttling.ts
+++ b/src/base/throttling.ts
@@ -1,19 +1,18 @@
-/** @file Time budgets and intervals that follow from a controller's share of a core. */
+/** @file Time budgets and intervals derived from a controller's share of a core. */
 
 /**
- * Limits that follow from a controller's share of a core: how long it computes at a time, and into how many shards the
- * work is split. Steady time goes on while a process waits for its share of the core: at 6.8%, a millisecond of
- * computing takes fifteen. A budget of steady time that suffices at an eighth of a core would then be used up before any
- * work is done.
+ * Limits derived from a controller's share of a core: how long it computes at a time, and into how many shards the work
+ * is split. Monotonic time passes while a process is throttled: with 6.8% of a core, a millisecond of computing takes
+ * fifteen. A time budget that suffices with an eighth of a core would then be used up before any work is done.
  */
 export interface Throttling {
-  /** Into how many shards teams and machines are split, unless the operators set it. */
+  /** Number of shards into which teams and machines are split, unless the operators set it. */
   readonly shards: number;
-  /** Steady time that a round of placement may take, unless the operators set it. */
+  /** Monotonic time that a placement round may take, unless the operators set it. */
   readonly roundBudgetMs: number;
-  /** The longest pause after a round, which gets a quarter of the time. */
+  /** The longest pause after a placement round; rounds get a quarter of the time. */
   readonly roundPauseMs: number;
-  /** Least time between two watches. The peers' change notifications, and this controller's own writes, arrive sooner. */
+  /** Shortest interval between two watch requests. Peers' change notifications and own writes are applied sooner. */
   readonly watchPaceMs: number;
 }
 
@@ -21,16 +20,16 @@
 const UNTHROTTLED_CPU = 1 / 8;
 const BASE_ROUND_BUDGET_MS = 40;
 const BASE_ROUND_PAUSE_MS = 200;
-const BASE_WATCH_PACE_MS = 100;
+const BASE_WATCH_INTERVAL_MS = 100;
 
-/** The limits for a share of a core, in a deployment of so many controllers. */
+/** Derives the limits from a share of a core and the number of controllers. */
 export function throttlingFor(cpu: number, controllers: number): Throttling {
   const slowdown = Math.max(1, UNTHROTTLED_CPU / cpu);
   return {
-    // One shard pools spare room; more of them spread heartbeats, rounds and failovers (docs/EXPERIMENTS.md).
+    // One shard pools all free resources; several spread heartbeats, rounds and failovers (docs/EXPERIMENTS.md).
     shards: Math.min(controllers, Math.ceil(slowdown)),
     roundBudgetMs: Math.round(BASE_ROUND_BUDGET_MS * slowdown),
     roundPauseMs: Math.round(BASE_ROUND_PAUSE_MS * slowdown),
-    watchPaceMs: Math.round(BASE_WATCH_PACE_MS * slowdown),
+    watchPaceMs: Math.round(BASE_WATCH_INTERVAL_MS * slowdown),
   };
 }
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,4 +1,4 @@
-/** @file Where commands print, and how they fail. */
+/** @file The output of commands: result lines, error messages and exit codes. */
 
 /** The exit codes of failed commands. */
 export enum ExitCode {
@@ -6,15 +6,15 @@
   BadInput = 1,
   /** The controller refused the request. */
   Refused = 2,
-  /** No response came. */
+  /** No response was received. */
   NoResponse = 3,
 }
 
-/** Where commands print, and how they fail. */
+/** The output of a command. */
 export interface CommandOutput {
   /** Prints a line of the result. */
   print(line: string): void;
-  /** Prints what went wrong, and sets the exit code. */
+  /** Prints an error message, and sets the exit code. */
   fail(message: string, code: ExitCode): void;
 }
 
--- a/src/cli/peers-table.ts
+++ b/src/cli/peers-table.ts
@@ -1,4 +1,4 @@
-/** @file The response to `GET /peers` as a table for people. */
+/** @file Formats the response to `GET /peers` as a human-readable table. */
 import type { PeerRow, PeersReport } from '../suspicion/peers-report';
 
 const HEADINGS = ['FROM', 'PEER', 'STATUS', 'WHY', 'FOR', 'HEARD', 'RUN', 'INC', 'PHI'] as const;
@@ -23,14 +23,14 @@
   ];
 }
 
-/** One line on the controller that sent the report. */
+/** A line with the state of the controller that sent the report. */
 function summaryLine(report: PeersReport): string {
   const { node, run, incarnation, stalls, isStalled, suspectedForMs } = report;
   const suspected = suspectedForMs === null ? '' : `, suspected by most for ${seconds(suspectedForMs)}`;
   return `${node}: run ${run}, incarnation ${incarnation}, stalls ${stalls}${isStalled ? ' (stalled)' : ''}${suspected}`;
 }
 
-/** The report as lines of aligned columns, one line for each opinion that one controller holds of another. */
+/** Formats the report as aligned columns, with one line for each controller's opinion on a peer. */
 export function peersTable(report: PeersReport): string {
   const lines = [[...HEADINGS], ...report.rows.map(cellsOf)];
   const widths = HEADINGS.map((_, column) => Math.max(...lines.map((line) => line[column]?.length ?? 0)));
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -1,4 +1,4 @@
-/** @file The command line: serves as a controller, checks settings, and sends requests to controllers. */
+/** @file The command line: runs a controller, checks settings, and sends requests to controllers. */
 import { Command, InvalidArgumentError } from 'commander';
 import { readSettings, readText } from '../base/settings-files';
 import { SettingsError } from '../base/settings-schema';
@@ -35,7 +35,7 @@
     });
 }
 
-/** The commands that ask a controller about a job. */
+/** Adds the commands that submit, query and cancel a job. */
 function addJobCommands(program: Command, output: CommandOutput): void {
   program
     .command('submit')
@@ -77,7 +77,7 @@
     });
 }
 
-/** Creates the command line; `code` tells, for the log, whether the code compiled by the build was used. */
+/** Creates the command line; `code` is logged and says whether the build's code cache was used. */
 export function createProgram(code = 'none', output: CommandOutput = processOutput): Command {
   const program = new Command('ironstream')
     .description('A cluster scheduler. With --config it runs a controller.')
--- a/src/cli/requests.ts
+++ b/src/cli/requests.ts
@@ -1,4 +1,4 @@
-/** @file Requests of the command line to a controller. */
+/** @file Sends the requests of the command line to a controller. */
 import { codec } from '../protocol/codec';
 import { HttpClient, NoResponseError, type HttpResponse } from '../transport/http-client';
 import { ExitCode, type CommandOutput } from './output';
@@ -6,16 +6,16 @@
 const TIMEOUT_MS = 5_000;
 const MAX_RESPONSE_BYTES = 64 * 1024;
 
-/** A request to a controller, and how its response is printed. */
+/** A request to a controller, and the format in which its response is printed. */
 export interface ControllerRequest {
   readonly method: 'GET' | 'POST';
   readonly path: string;
   readonly body?: unknown;
-  /** One line of JSON where it is left out. */
+  /** Formats the body of the response; by default as one line of JSON. */
   readonly print?: (body: unknown) => string;
 }
 
-/** Sends a request to a controller, and prints its response; or fails with the reason. */
+/** Sends a request to a controller, and prints its response, or the reason why the request failed. */
 export async function sendRequest(
   output: CommandOutput,
   address: string,
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -23,12 +23,12 @@
 
 const MAX_REQUEST_BYTES = 64 * 1024;
 const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
-/** A controller that can't get what it needs listens, and answers so itself, after this long. */
-const LISTEN_AFTER_MS = 3_000;
+/** A controller that is not initialized by then listens anyway, and refuses requests with 503. */
+const MAX_LISTEN_DELAY_MS = 3_000;
 const INITIALIZATION_POLL_MS = 10;
 const MS_PER_S = 1_000;
 
-/** What the steps of the start share. */
+/** The parts of the process that the steps of its start share. */
 interface Service {
   readonly settings: Settings;
   readonly log: Log;
@@ -41,7 +41,7 @@
   readonly peers: readonly PeerSender[];
 }
 
-/** Runs a controller until its process is killed; `code` tells, for the log, whether compiled code was used. */
+/** Runs a controller until its process is killed; `code` is logged and says whether the code cache was used. */
 export async function serve(settings: Settings, code: string): Promise<void> {
   const log = startLog(settings);
   logUncaughtErrors(log);
@@ -59,7 +59,7 @@
   log.info({ bind, back, shardLeaseMs: settings.shardLeaseMs, startMs, code }, 'serving');
 }
 
-/** Creates the log, and writes to it what the settings warn of. */
+/** Creates the log, writes the warnings on the settings to it, and starts tracing if an operator has enabled it. */
 function startLog(settings: Settings): Log {
   const admission = readAdmissionOptions(settings);
   const log = createLog(levelFromEnv(process.env.LOG_LEVEL), settings.platform.node);
@@ -69,13 +69,13 @@
   return log;
 }
 
-/** Spans go to the log where an operator asks for them; their library is loaded in no other case. */
+/** Writes spans to the log. The tracing library is loaded only here, when an operator has enabled tracing. */
 function startTracing(log: Log): void {
   const tracing = createRequire(__filename)(join(__dirname, 'tracing.js')) as typeof Tracing;
   tracing.traceToLog(log);
 }
 
-/** The process never ends by itself: what no loop caught is logged, and the loops go on. */
+/** Logs errors that no loop caught, instead of letting them terminate the process; the loops continue. */
 function logUncaughtErrors(log: Log): void {
   process.on('uncaughtException', (error) => {
     log.error({ err: describeError(error), stack: error.stack }, 'uncaught exception');
@@ -113,8 +113,8 @@
     startedAt: 0,
     random: systemRandom,
     log,
-    // Apart from the calls to workers, whose many idle connections must not push out those to the key-value store:
-    // opening one anew fails when sockets have run out, and with it a lease's renewal.
+    // A pool separate from that for workers, whose many idle connections must not evict those to the key-value store:
+    // when sockets have run out, opening a new connection fails, and so does the lease renewal that needs it.
     http: new HttpClient(codec, { perHost: external, idle: () => 2 * external }, MAX_RESPONSE_BYTES),
     workers,
     broadcast: (bytes) => {
@@ -129,10 +129,10 @@
     connections,
     encode: (value) => codec.encode(value),
     onError: (error) => {
-      log.error({ err: describeError(error) }, 'a request failed');
+      log.error({ err: describeError(error) }, 'unhandled error in request handler');
     },
   });
-  // Each connection that comes in leaves room for one fewer that lies idle.
+  // Each inbound connection may lower the limit on idle outbound connections; those beyond the limit are closed.
   server.server.on('connection', () => {
     workers.trim();
   });
@@ -148,9 +148,9 @@
 }
 
 /**
- * Until it is initialized, a controller could only answer 'not now'. Workers that lost their owner all connect at once,
- * and again every second: refusing them by not listening costs nothing, while answering them kept a controller that
- * starts from ever being ready.
+ * Listens once the controller is initialized; before that it could only answer 'not now'. The workers of a failed owner
+ * all connect at once, and retry every second. A closed port refuses them at no cost to this process, whereas answering
+ * them kept a starting controller from ever becoming ready.
  */
 async function listenWhenInitialized(
   server: FastifyInstance,
@@ -158,8 +158,8 @@
   controller: Controller,
 ): Promise<void> {
   const [host, port] = platform.bind.split(':');
-  const listenBy = systemClock.now() + LISTEN_AFTER_MS;
-  while (!controller.isInitialized && systemClock.now() < listenBy) {
+  const listenDeadline = systemClock.now() + MAX_LISTEN_DELAY_MS;
+  while (!controller.isInitialized && systemClock.now() < listenDeadline) {
     await systemClock.sleep(INITIALIZATION_POLL_MS);
   }
   await server.listen({ host: host ?? '', port: Number(port), backlog: sockets.backlog });
--- a/src/cli/settings-summary.ts
+++ b/src/cli/settings-summary.ts
@@ -1,18 +1,18 @@
-/** @file What follows from the settings, as `check-config` prints it. */
+/** @file The settings and the values derived from them, as `check-config` prints them. */
 import { readAdmissionOptions } from '../admission/options';
 import type { Settings } from '../base/settings';
 import { describeSuspicion } from '../suspicion/options';
 
-/** The settings and what follows from them, as one line of JSON. Settings and this output name shards `blocks`. */
+/** Formats the settings and derived values as one line of JSON. The settings and this output call shards `blocks`. */
 export function summarizeSettings(settings: Settings): string {
   const { node, deployment } = settings.platform;
-  const { shards: blocks, ...pace } = settings.throttling;
+  const { shards: blocks, ...otherLimits } = settings.throttling;
   return JSON.stringify({
     node,
     teams: deployment.teams.length,
     blockLeaseMs: settings.shardLeaseMs,
     sockets: settings.sockets,
-    pace: { blocks, ...pace },
+    pace: { blocks, ...otherLimits },
     stateLimits: deployment.state,
     stateLimitsAnnounced: settings.nextStateLimits ?? null,
     admission: readAdmissionOptions(settings) ?? null,
--- a/src/cli/tracing.ts
+++ b/src/cli/tracing.ts
@@ -1,4 +1,4 @@
-/** @file Writes spans to the log. A bundle of its own, loaded only where an operator asks for traces. */
+/** @file Writes spans to the log. Built as a separate bundle, loaded only when an operator has enabled tracing. */
 import { context, trace } from '@opentelemetry/api';
 import { AsyncLocalStorageContextManager } from '@opentelemetry/context-async-hooks';
 import {
@@ -12,10 +12,10 @@
 const MS_PER_S = 1_000;
 const NS_PER_MS = 1_000_000;
 
-/** The outcome that the exporter interface calls success. */
+/** The export result that means success. */
 const SUCCESS = { code: 0 } as const;
 
-/** One log line for each span, with its events. */
+/** Writes one log line for each span, with its events. */
 export class LogSpanExporter implements SpanExporter {
   constructor(private readonly log: Log) {}
 
--- a/src/cli/usage.ts
+++ b/src/cli/usage.ts
@@ -1,4 +1,4 @@
-/** @file The log line by which an operator sees what a process uses of its quota. */
+/** @file Logs the resource usage of the process, for operators to compare with its quota. */
 import { systemClock } from '../base/clock';
 import type { Log } from '../base/log';
 import type { Controller } from '../coordination/controller';
@@ -8,7 +8,7 @@
 const MICROSECONDS_PER_MS = 1_000;
 const BYTES_PER_MB = 1024 * 1024;
 
-/** Measures for an interval, and logs one line; to be run in a loop. */
+/** Measures the usage over one interval and logs it; run in a loop. */
 export async function reportUsage(log: Log, connections: Connections, controller: Controller): Promise<void> {
   const cpuBefore = process.cpuUsage();
   const startedAt = systemClock.now();
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,7 +1,8 @@
 /**
- * @file Starts the program with the code that was compiled when it was built: compiling it anew took a third of each
- * start, and on a small quota starts last seconds (docs/PERFORMANCE.md). Only code is kept, no state of the build. The
- * runtime rejects what it did not make itself, for these very sources and flags, and then compiles as usual.
+ * @file Entry point: loads the program with the code cache that the build wrote. Without it, compiling took a third of
+ * each start, and with a small CPU quota a start takes seconds (docs/PERFORMANCE.md). The cache holds only compiled code,
+ * no state of the build. The runtime rejects a cache of another runtime version, of other sources or of other flags; the
+ * program is then compiled as usual.
  */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { createRequire, wrap } from 'node:module';
@@ -10,9 +11,9 @@
 import type * as Program from './cli/program';
 
 const PROGRAM_FILE = join(__dirname, 'program.js');
-const CODE_FILE = join(__dirname, 'program.code');
-/** The argument with which the build has the code compiled and kept. */
-const KEEP_CODE = 'keep-code';
+const CODE_CACHE_FILE = join(__dirname, 'program.code');
+/** The argument with which the build runs this file to write the code cache. */
+const WRITE_CACHE_ARGUMENT = 'keep-code';
 
 /** The parameters with which the runtime calls a wrapped module. */
 type ModuleParameters = [
@@ -23,9 +24,9 @@
   directory: string,
 ];
 
-function readKeptCode(): Buffer | undefined {
+function readCodeCache(): Buffer | undefined {
   try {
-    return readFileSync(CODE_FILE);
+    return readFileSync(CODE_CACHE_FILE);
   } catch {
     return undefined;
   }
@@ -43,20 +44,20 @@
   return loaded.exports;
 }
 
-function keepCode(): void {
+function writeCodeCache(): void {
   const script = compile(undefined);
-  // What ran until here is compiled by then, and kept; the rest is compiled as it is needed.
+  // Functions that run here are compiled by then and go into the cache; the others are compiled at their first call.
   load(script).createProgram();
-  writeFileSync(CODE_FILE, script.createCachedData());
+  writeFileSync(CODE_CACHE_FILE, script.createCachedData());
 }
 
 function start(): void {
-  const keptCode = readKeptCode();
-  const script = compile(keptCode);
+  const codeCache = readCodeCache();
+  const script = compile(codeCache);
   const isRejected = script.cachedDataRejected === true;
-  const code = keptCode === undefined ? 'none' : isRejected ? 'refused' : 'used';
+  const code = codeCache === undefined ? 'none' : isRejected ? 'refused' : 'used';
   void load(script).main(process.argv, code);
 }
 
-if (process.argv[2] === KEEP_CODE) keepCode();
+if (process.argv[2] === WRITE_CACHE_ARGUMENT) writeCodeCache();
 else start();
