--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -43,9 +43,9 @@
 const STATUS_TOO_MANY_REQUESTS = 429;
 const STATUS_UNAVAILABLE = 503;
 
-/** What to rent. */
+/** A request to rent machines. */
 export interface CreateMachinesRequest {
-  /** Makes a repeat harmless; a key is never used for another request, by any controller. */
+  /** Makes retries idempotent. No controller uses the key of one request for another. */
   idempotencyKey: string;
   type: string;
   zone: string;
@@ -54,12 +54,12 @@
 }
 
 /**
- * Whether the caller still has the right to act, asked right before a request leaves: its lease may end while the
- * request waits.
+ * Whether the caller still has authority, that is, a valid lease. Checked right before a request is sent: the lease may
+ * expire while the request waits.
  */
 export type AuthorityCheck = () => boolean;
 
-/** A request to the cloud that is known not to have been executed. One without a usable response is a `NoResponseError`. */
+/** The cloud did not execute the request. A request without a usable response throws `NoResponseError` instead. */
 export abstract class CloudError extends Error {}
 
 /** The cloud refused the request (429, 503): it was not executed. */
@@ -67,14 +67,14 @@
   override name = 'CloudRejectedError';
   constructor(
     message: string,
-    /** The cloud has no machine of the type, zone and kind that were asked for. */
+    /** Whether the cloud has no free machine of the requested type, zone and kind (spot or on-demand). */
     readonly noCapacity: boolean,
   ) {
     super(message);
   }
 }
 
-/** The caller's right to act ended while its request waited inside the rate limit; nothing was sent. */
+/** The caller lost its authority while its request waited for the rate limit; nothing was sent. */
 export class AuthorityLostError extends CloudError {
   override name = 'AuthorityLostError';
 }
@@ -85,7 +85,7 @@
   readonly path: string;
   readonly body?: unknown;
   readonly schema: z.ZodType<T>;
-  /** Left out where no right is needed. */
+  /** Undefined for requests that need no authority. */
   readonly hasAuthority?: AuthorityCheck;
 }
 
@@ -116,22 +116,22 @@
   };
 }
 
-/** The cloud's interface, held inside its rate limit. A malformed response counts as none. */
+/** The client of the cloud; stays within its rate limit. A malformed response is a `NoResponseError`. */
 export class Cloud {
   constructor(
     private readonly http: HttpCaller,
     private readonly address: string,
-    private readonly rate: RateLimit,
+    private readonly rateLimit: RateLimit,
     private readonly timeoutMs: number,
   ) {}
 
-  /** The machine types that the cloud offers, with the prices of the moment. */
+  /** Lists the machine types that the cloud offers, with their current prices. */
   async listMachineTypes(): Promise<MachineType[]> {
     const { frames } = await this.#call({ method: 'GET', path: '/flavors', schema: machineTypesSchema });
     return frames.map(toMachineType);
   }
 
-  /** Rents machines, perhaps fewer than asked for. Throws `AuthorityLostError` when the right to act has ended. */
+  /** Rents machines, perhaps fewer than requested. Throws `AuthorityLostError` when the caller has lost its authority. */
   async createMachines(request: CreateMachinesRequest, hasAuthority: AuthorityCheck): Promise<string[]> {
     const body = {
       booking: request.idempotencyKey,
@@ -151,15 +151,15 @@
   }
 
   /**
-   * When this resolves, the machines and all that was on them are gone. Throws `AuthorityLostError` when the right to act
-   * has ended.
+   * Deletes machines. When this resolves, the machines and everything on them no longer exist. Throws
+   * `AuthorityLostError` when the caller has lost its authority.
    */
   async deleteMachines(ids: readonly string[], hasAuthority: AuthorityCheck): Promise<void> {
     const body = { hearths: ids };
     await this.#call({ method: 'POST', path: '/hosts/release', body, schema: z.unknown(), hasAuthority });
   }
 
-  /** All machines, page by page, in the order of their names. */
+  /** Lists all machines in the order of their names, one page per request. */
   async listMachines(): Promise<ListedMachine[]> {
     const machines: ListedMachine[] = [];
     let after = '';
@@ -175,9 +175,9 @@
   }
 
   async #call<T>({ method, path, body, schema, hasAuthority = () => true }: CloudRequest<T>): Promise<T> {
-    await this.rate.take();
-    // The turn may have come after a stall: a deletion decided before it could end what a new owner has placed since.
-    if (!hasAuthority()) throw new AuthorityLostError(`cloud ${path}: the right to act has ended`);
+    await this.rateLimit.take();
+    // The process may have stalled meanwhile: an outdated deletion could terminate tasks that a new owner has placed.
+    if (!hasAuthority()) throw new AuthorityLostError(`cloud ${path}: not sent, authority has expired`);
     const response = await this.http.call(this.address, method, path, body, this.timeoutMs, hasAuthority);
     return readResponse(path, response, schema);
   }
@@ -187,7 +187,7 @@
   if (status === 200) {
     const parsed = schema.safeParse(body);
     if (parsed.success) return parsed.data;
-    throw new NoResponseError(`cloud ${path}: malformed answer`, true, { cause: parsed.error });
+    throw new NoResponseError(`cloud ${path}: malformed response`, true, { cause: parsed.error });
   }
   if (status === STATUS_UNAVAILABLE || status === STATUS_TOO_MANY_REQUESTS) {
     const error = (body as { error?: unknown } | null)?.error;
--- a/src/protocol/codec.ts
+++ b/src/protocol/codec.ts
@@ -11,7 +11,7 @@
   decode: (bytes) => decoder.decode(bytes),
 };
 
-/** Decodes a body that must be a map; undefined when it is not. */
+/** Decodes a body that must be a map; undefined when it is malformed or not a map. */
 export function decodeMap(bytes: Uint8Array): Record<string, unknown> | undefined {
   try {
     const value: unknown = decoder.decode(bytes);
--- a/src/protocol/http-key-value-store.ts
+++ b/src/protocol/http-key-value-store.ts
@@ -1,4 +1,4 @@
-/** @file The key-value store over HTTP, inside this controller's share of its rate limits. */
+/** @file The HTTP client of the key-value store, which stays within this controller's share of the rate limits. */
 import * as z from 'zod';
 import {
   ResponseTooLargeError,
@@ -23,7 +23,7 @@
 
 const revision = z.int().min(0);
 const entrySchema = z.object({ path: z.string(), data: z.unknown(), stamp: revision });
-const missingSchema = z.object({ ledger: revision });
+const notFoundSchema = z.object({ ledger: revision });
 const listSchema = z.object({ entries: z.array(entrySchema), hasNext: z.boolean(), ledger: revision });
 const swappedSchema = z.object({ ledger: revision });
 const notSwappedSchema = z.object({ failed: z.array(z.string()), ledger: revision });
@@ -43,13 +43,13 @@
 const STATUS_UNAVAILABLE = 503;
 
 const ENTRIES_PER_PAGE = 500;
-/** A longer wait for a turn inside the limits is refused: users, above all, never queue without being seen. */
-const MAX_WAIT_FOR_TURN_MS = 1_000;
+/** Requests that would wait longer for tokens are refused: users' requests must not queue up unnoticed. */
+const MAX_TOKEN_WAIT_MS = 1_000;
 
-/** What the client is given. */
+/** The connection, the limits and the timeout of the client. */
 export interface HttpKeyValueStoreOptions {
   readonly http: HttpCaller;
-  /** IP:PORT of the service. */
+  /** IP:PORT of the key-value store. */
   readonly address: string;
   /** This controller's share of the limit on requests. */
   readonly requests: RateLimit;
@@ -59,8 +59,8 @@
 }
 
 /**
- * The key-value store over HTTP. Requests and changes each stay inside this controller's share of the limits; urgent
- * requests (lease renewals, cancellations) go ahead of the others.
+ * The HTTP client of the key-value store. Requests and changes each stay within this controller's share of the rate
+ * limits; urgent requests (lease renewals, cancellations) don't wait for tokens, so the others wait longer.
  */
 export class HttpKeyValueStore implements KeyValueStore {
   #isUnavailable = false;
@@ -72,21 +72,22 @@
   }
 
   async get(key: string): Promise<Entry | null> {
-    await this.options.requests.take(1, MAX_WAIT_FOR_TURN_MS);
+    await this.options.requests.take(1, MAX_TOKEN_WAIT_MS);
     const response = await this.#call('GET', `/store/${key}`, undefined);
     if (response.status === STATUS_NOT_FOUND) {
-      // Only the store's own body proves that a key does not exist: on less, an accepted job would be called unknown.
-      check(response.body, missingSchema);
+      // Only a 404 with the store's own body means that the key does not exist. Without this check, any other 404 would
+      // make an accepted job appear unknown.
+      parseBody(response.body, notFoundSchema);
       return null;
     }
-    return toEntry(parse(response, entrySchema));
+    return toEntry(parseResponse(response, entrySchema));
   }
 
   async list(prefix: string, after?: string): Promise<EntryPage> {
     await this.options.requests.take();
     const since = after === undefined ? '' : `&since=${encodeURIComponent(after)}`;
     const path = `/store?prefix=${encodeURIComponent(prefix)}${since}&limit=${ENTRIES_PER_PAGE}`;
-    const page = parse(await this.#call('GET', path, undefined), listSchema);
+    const page = parseResponse(await this.#call('GET', path, undefined), listSchema);
     return { entries: page.entries.map(toEntry), hasMore: page.hasNext, revision: page.ledger };
   }
 
@@ -100,7 +101,7 @@
       requests.takeNow();
       writes.takeNow(changes.length);
     } else {
-      await writes.take(changes.length, MAX_WAIT_FOR_TURN_MS);
+      await writes.take(changes.length, MAX_TOKEN_WAIT_MS);
       await requests.take();
     }
     const response = await this.#call('POST', '/txn', {
@@ -108,30 +109,30 @@
       apply: changes.map(writeChange),
     });
     if (response.status === STATUS_CONFLICT) {
-      const { failed, ledger } = check(response.body, notSwappedSchema);
+      const { failed, ledger } = parseBody(response.body, notSwappedSchema);
       return { ok: false, failed, revision: ledger };
     }
-    if (isLeaseExpired(response)) throw new LeaseExpiredError('the lease of a change has ended');
-    return { ok: true, revision: parse(response, swappedSchema).ledger };
+    if (isLeaseExpired(response)) throw new LeaseExpiredError('the lease of a put has expired');
+    return { ok: true, revision: parseResponse(response, swappedSchema).ledger };
   }
 
   async grantLease(ttlMs: number): Promise<number> {
     this.options.requests.takeNow();
-    return parse(await this.#call('POST', '/grants', { ttlMs }), leaseSchema).hold;
+    return parseResponse(await this.#call('POST', '/grants', { ttlMs }), leaseSchema).hold;
   }
 
   async renewLease(lease: number): Promise<boolean> {
     this.options.requests.takeNow();
     const response = await this.#call('POST', `/grants/${lease}/extend`, {});
     if (response.status === STATUS_NOT_FOUND) return false;
-    parse(response, z.unknown());
+    parseResponse(response, z.unknown());
     return true;
   }
 
   async revokeLease(lease: number): Promise<void> {
     this.options.requests.takeNow();
     const response = await this.#call('DELETE', `/grants/${lease}`, undefined);
-    if (response.status !== STATUS_NOT_FOUND) parse(response, z.unknown());
+    if (response.status !== STATUS_NOT_FOUND) parseResponse(response, z.unknown());
   }
 
   async changes(prefix: string, since: number, waitMs: number): Promise<ChangeList | undefined> {
@@ -140,13 +141,13 @@
     const path = `/changes?prefix=${encodeURIComponent(prefix)}&since=${since}&holdMs=${waitMs}`;
     const response = await this.#callForChanges(path, waitMs + timeoutMs);
     if (!response || response.status === STATUS_GONE) return undefined;
-    const { ledger, news } = parse(response, changesSchema);
+    const { ledger, news } = parseResponse(response, changesSchema);
     return { revision: ledger, events: news.map(toChangeEvent) };
   }
 
   /**
-   * Undefined: the response, whose size has no bound, is larger than a controller reads. Asked for once more it would
-   * only have grown, and the controller would never see another change.
+   * Undefined when the response, whose size is not bounded, exceeds the client's limit. A retry would get an even larger
+   * response, and the controller would never receive another change.
    */
   async #callForChanges(path: string, timeoutMs: number): Promise<HttpResponse | undefined> {
     try {
@@ -195,18 +196,18 @@
   return status === STATUS_BAD_REQUEST && (body as { error?: unknown } | null)?.error === 'no such lease';
 }
 
-/** Checks the status of a response, and its body. */
-function parse<T>({ status, body }: HttpResponse, schema: z.ZodType<T>): T {
+/** Checks the status and the body of a response. */
+function parseResponse<T>({ status, body }: HttpResponse, schema: z.ZodType<T>): T {
   if (status === STATUS_UNAVAILABLE || status === STATUS_TOO_MANY_REQUESTS) {
     throw new StoreRejectedError(`key-value store: ${status}`);
   }
   if (status !== STATUS_OK) throw new NoResponseError(`key-value store: status ${status}`, true);
-  return check(body, schema);
+  return parseBody(body, schema);
 }
 
-/** Checks the body of a response whose status was looked at already. */
-function check<T>(body: unknown, schema: z.ZodType<T>): T {
+/** Checks the body of a response whose status was checked before. */
+function parseBody<T>(body: unknown, schema: z.ZodType<T>): T {
   const parsed = schema.safeParse(body);
   if (parsed.success) return parsed.data;
-  throw new NoResponseError('key-value store: malformed answer', true, { cause: parsed.error });
+  throw new NoResponseError('key-value store: malformed response', true, { cause: parsed.error });
 }
--- a/src/protocol/key-value-store.ts
+++ b/src/protocol/key-value-store.ts
@@ -8,14 +8,14 @@
   version: number;
 }
 
-/** What must hold of a key for a compare-and-swap to be executed. */
+/** A condition of a compare-and-swap: the version that a key must have. */
 export interface Condition {
   key: string;
   /** 0: the key must not exist. */
   version: number;
 }
 
-/** A change of a key. A key that is put with a lease is deleted when the lease ends; put without one, it stays. */
+/** A change of a key. A key that is put with a lease is deleted when the lease ends; without a lease it stays. */
 export type Change = { put: string; value: unknown; lease?: number } | { delete: string };
 
 /** The outcome of a compare-and-swap; `failed` names the keys whose conditions don't hold. */
@@ -39,10 +39,10 @@
   events: ChangeEvent[];
 }
 
-/** An urgent request goes ahead of the others inside the rate limits, instead of waiting for its turn. */
+/** An urgent request doesn't wait for the rate limits; the other requests wait longer instead. */
 export type RequestPriority = 'normal' | 'urgent';
 
-/** A request that is known not to have been executed. One without a usable response is a `NoResponseError`. */
+/** The store did not execute the request. A request without a usable response throws `NoResponseError` instead. */
 export abstract class StoreError extends Error {}
 
 /** The key-value store refused the request (429, 503): it was not executed. */
@@ -55,15 +55,15 @@
   override name = 'LeaseExpiredError';
 }
 
-/** A small store with strong consistency, whose every change has a revision. */
+/** A small, strongly consistent store in which every change has a revision. */
 export interface KeyValueStore {
-  /** The last request failed: as far as this controller can tell, the key-value store can't be reached. */
+  /** Whether the last request failed, so that the key-value store is considered unavailable. */
   readonly isUnavailable: boolean;
   /** Null when the key does not exist. */
   get(key: string): Promise<Entry | null>;
-  /** One page of the entries under a prefix, in the order of their keys, beginning after a key. */
+  /** Returns one page of the entries under a prefix, in the order of their keys, starting after the given key. */
   list(prefix: string, after?: string): Promise<EntryPage>;
-  /** Makes all the changes, provided that all the conditions hold. */
+  /** Executes all changes atomically if all conditions hold, and otherwise none. */
   compareAndSwap(
     conditions: Condition[],
     changes: Change[],
@@ -71,13 +71,13 @@
   ): Promise<CompareAndSwapResult>;
   /** Grants a lease, and returns its id. */
   grantLease(ttlMs: number): Promise<number>;
-  /** False when the lease has ended. */
+  /** Renews a lease; false when it has ended. */
   renewLease(lease: number): Promise<boolean>;
   /** Ends a lease at once. */
   revokeLease(lease: number): Promise<void>;
   /**
-   * Waits until a key with the prefix has changed after a revision, or until the time is over. Undefined when the changes
-   * can't be listed, as the revision is too old or the changes are too many.
+   * Waits until a key with the prefix has changed after a revision, or until the time has passed. Undefined when the
+   * changes can't be listed, because the revision is too old or there are too many changes.
    */
   changes(prefix: string, since: number, waitMs: number): Promise<ChangeList | undefined>;
 }
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -1,15 +1,15 @@
 /**
- * @file The scheduler's own terms for jobs, machines and heartbeats. The words on the wire stay in the schemas beside
- * this file. Durations are in seconds (suffix `S`), sizes in gigabytes (suffix `Gb`), resources per task or per machine.
+ * @file The data model of jobs, machines and heartbeats. The names on the wire occur only in the schemas beside this file.
+ * Durations are in seconds (suffix `S`), sizes in gigabytes (suffix `Gb`), resources per task or per machine.
  */
 
-/** The priority of a job's tasks; only work of a lower priority is preempted for it. */
+/** The priority of a job's tasks, which preempt only tasks of a lower priority. */
 export type Priority = 'production' | 'high' | 'normal' | 'low';
 
 /** Priorities in order, the highest first. */
 export const PRIORITY_RANK: Record<Priority, number> = { production: 0, high: 1, normal: 2, low: 3 };
 
-/** What a task takes of a machine, or what a machine offers. */
+/** The resources that a task uses or a machine offers. */
 export interface Resources {
   cpus: number;
   gpus: number;
@@ -17,17 +17,17 @@
 }
 
 /** Adds resources in place. */
-export function addResources(room: Resources, needs: Resources): void {
-  room.cpus += needs.cpus;
-  room.gpus += needs.gpus;
-  room.memoryGb += needs.memoryGb;
+export function addResources(target: Resources, amount: Resources): void {
+  target.cpus += amount.cpus;
+  target.gpus += amount.gpus;
+  target.memoryGb += amount.memoryGb;
 }
 
 /** Subtracts resources in place. */
-export function subtractResources(room: Resources, needs: Resources): void {
-  room.cpus -= needs.cpus;
-  room.gpus -= needs.gpus;
-  room.memoryGb -= needs.memoryGb;
+export function subtractResources(target: Resources, amount: Resources): void {
+  target.cpus -= amount.cpus;
+  target.gpus -= amount.gpus;
+  target.memoryGb -= amount.memoryGb;
 }
 
 /** A job array as its user described it; the resources are those of one task. Stored with these field names. */
@@ -50,7 +50,7 @@
   spread: boolean;
   /** Whether its tasks may run on spot machines. */
   spot: boolean;
-  /** The image that a machine must hold before a task can start. */
+  /** The image that a machine must have fetched before a task can run. */
   image: string;
   imageGb: number;
   /** The user's estimate of one task's run time, without the fetch of the image; often wrong by half. */
@@ -72,9 +72,9 @@
   cacheGb: number;
   /** Nominal rate at which a machine fetches an image. */
   fetchGbPerS: number;
-  /** Price per hour of an ordinary machine. */
+  /** Price per hour of an on-demand machine. */
   price: number;
-  /** Price per hour of a spot machine, at present. */
+  /** Current price per hour of a spot machine. */
   spotPrice: number;
   /** Nominal boot time. */
   bootS: number;
@@ -82,7 +82,7 @@
   zones: string[];
 }
 
-/** The state of a job that is over. */
+/** The state of a job that has ended. */
 export type FinalState = 'done' | 'cancelled';
 /** The state of a job as its user sees it. */
 export type JobState = 'queued' | 'running' | FinalState;
@@ -93,21 +93,21 @@
   state: JobState;
   /** Number of tasks that are done. */
   done: number;
-  /** Number of tasks that run. */
+  /** Number of running tasks. */
   running: number;
   /** Dependencies that are not done yet; absent where there are none. */
   unfinishedDependencies?: readonly string[];
 }
 
-/** How far an attempt is on its machine. */
+/** The execution phase of an attempt on its machine. */
 export type AttemptPhase = 'fetching' | 'running' | 'checkpointing' | 'exited';
 /**
- * Why an attempt exited. The last three are refused starts: not enough free resources, the same task is on the machine
- * with another attempt, and no such job or task.
+ * Why an attempt exited. The last three are refused starts: not enough free resources, another attempt of the same task
+ * is on the machine, and no such job or task.
  */
 export type ExitCause = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown';
 
-/** One attempt of one task, as the worker's heartbeat has it. */
+/** One attempt of one task, as a worker's heartbeat reports it. */
 export interface ReportedAttempt {
   job: string;
   task: number;
@@ -115,25 +115,25 @@
   phase: AttemptPhase;
   /** Null unless the attempt has exited. */
   cause: ExitCause | null;
-  /** Whether a stopped attempt saved its progress. */
+  /** Whether a stopped attempt wrote a checkpoint. */
   hasCheckpoint: boolean;
 }
 
-/** A worker's message on itself and on the attempts on its machine. */
+/** A worker's report of its own state and of the attempts on its machine. */
 export interface WorkerHeartbeat {
   machine: string;
-  /** Where the worker takes commands: IP:PORT. */
+  /** The address at which the worker accepts commands: IP:PORT. */
   address: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** The worker's session: starts at 1, and rises each time its lease expires. */
+  /** The worker's incarnation: starts at 1, and increases each time its lease expires. */
   incarnation: number;
-  /** Rises with every message of the worker: the larger (incarnation, sequence) is the newer message. */
+  /** Increases with every message of the worker: the message with the larger (incarnation, sequence) is newer. */
   sequence: number;
   /** The highest fencing token that the worker has seen. */
   fencingToken: number;
-  /** Time until the cloud takes the spot machine back; null without a notice. */
+  /** Time until the cloud reclaims the spot machine; null without a spot interruption notice. */
   spotNoticeS: number | null;
   /** All attempts on the machine, exited ones included until a `forget` command removes them. */
   attempts: ReportedAttempt[];
@@ -149,7 +149,7 @@
   | { op: 'stop'; job: string; task: number; attempt: number; graceS: number }
   | { op: 'forget'; job: string; task: number; attempt: number };
 
-/** A machine in the cloud's list, which lags behind the machines themselves. */
+/** A machine in the cloud's list, which lags behind the machines' actual states. */
 export interface ListedMachine {
   id: string;
   /** The worker's address; IP:PORT. */
--- a/src/protocol/peer-view.ts
+++ b/src/protocol/peer-view.ts
@@ -1,38 +1,38 @@
 /** @file A controller's view of its peers' liveness: a field of the heartbeat between controllers. */
 import * as z from 'zod';
 
-/** What a controller holds of a peer, by its number on the wire. Numbers are never reused. */
+/** The statuses of a peer; the index is the number on the wire. Numbers are never reused. */
 export const PEER_STATUSES = ['unknown', 'alive', 'suspected', 'refuted', 'failed', 'returned'] as const;
-/** What a controller holds of a peer. */
+/** The status of a peer as seen by a controller. */
 export type PeerStatus = (typeof PEER_STATUSES)[number];
 
-/** Why a status is held, by its number on the wire. Numbers are never reused. */
+/** The reasons for a status; the index is the number on the wire. Numbers are never reused. */
 export const PEER_REASONS = ['none', 'no heartbeat', 'lease ended', 'heard by others'] as const;
-/** Why a status is held. */
+/** The reason for a status. */
 export type PeerReason = (typeof PEER_REASONS)[number];
 
-/** What the sender holds of one of its peers. */
+/** The sender's opinion on one of its peers. */
 export interface PeerOpinion {
   /** The peer. */
   readonly node: string;
   readonly status: PeerStatus;
   readonly reason: PeerReason;
-  /** For how long the sender has held this status, in milliseconds. */
+  /** For how long the peer has had this status at the sender, in milliseconds. */
   readonly forMs: number;
-  /** The run and incarnation of the peer that this is about. */
+  /** The session and incarnation of the peer to which the opinion refers. */
   readonly run: number;
   readonly incarnation: number;
-  /** Time since the peer's last message arrived, in milliseconds; undefined: none ever did. */
+  /** Time since the sender received the peer's last message, in milliseconds; undefined: it received none. */
   readonly heardMsAgo: number | undefined;
 }
 
-/** A controller's view of its peers, and the run and incarnation of its own that it speaks for. */
+/** A controller's view of its peers, with the controller's own session and incarnation. */
 export interface PeerView {
-  /** The revision at which the sender's controller record was written; 0 while it has none. Rises with every session. */
+  /** The sender's session: the revision at which its controller record was written, 0 without one. Only increases. */
   readonly run: number;
-  /** Raised by the sender, within a run, to refute a suspicion. */
+  /** Increased by the sender, within a session, to refute a suspicion. */
   readonly incarnation: number;
-  /** Whether the sender has stalled repeatedly in a short time: its opinions don't count. */
+  /** Whether the sender has stalled repeatedly in a short time; its opinions are then ignored. */
   readonly isStalled: boolean;
   readonly opinions: readonly PeerOpinion[];
 }
@@ -40,7 +40,7 @@
 const MAX_NAME_LENGTH = 256;
 const count = z.number().min(0).max(Number.MAX_SAFE_INTEGER);
 
-/** The number of an item of the list, as the wire has it. */
+/** The schema of an index of the list. */
 function indexOf(list: readonly string[]): z.ZodInt {
   return z
     .int()
@@ -90,7 +90,7 @@
   };
 }
 
-/** The view as protobuf has it. */
+/** Converts a view to its protobuf form. */
 export function writePeerView(view: PeerView): z.infer<typeof viewSchema> {
   return {
     run: view.run,
@@ -100,7 +100,7 @@
   };
 }
 
-/** Reads a view from what protobuf gives; undefined when it is malformed. */
+/** Reads a view from its protobuf form; undefined when it is malformed. */
 export function readPeerView(raw: unknown): PeerView | undefined {
   const parsed = viewSchema.safeParse(raw);
   if (!parsed.success) return undefined;
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -1,6 +1,6 @@
 /**
  * @file Messages between controllers: their types, and their encoding with protobuf (`peer.proto`). All of them are hints:
- * the key-value store alone decides.
+ * only the key-value store is authoritative.
  */
 import * as protobuf from 'protobufjs';
 import { readPeerView, writePeerView, type PeerView } from './peer-view';
@@ -8,7 +8,7 @@
 import { codec } from './codec';
 import type { ChangeEvent } from './key-value-store';
 
-/** The progress of a live job, for display: numbers of its tasks. */
+/** The progress of a live job, for display: the numbers of its running and done tasks. */
 export interface JobProgress {
   id: string;
   running: number;
@@ -18,9 +18,9 @@
 /** The owner of a shard that can't reach the key-value store asks its peers to extend its lease. */
 export interface LeaseExtensionRequest {
   from: string;
-  /** Numbers the requests of this sender. */
+  /** The sequence number of the request at its sender. */
   number: number;
-  /** The revision up to which the sender has seen the records. */
+  /** The revision up to which the sender has received changes. */
   revision: number;
 }
 
@@ -39,16 +39,16 @@
 /** The periodic message of a controller to its peers. */
 export interface PeerHeartbeat {
   from: string;
-  /** Whether the sender's view of the key-value store is recent. */
+  /** Whether the sender's watch cache is up to date. */
   isViewFresh: boolean;
   jobs: JobProgress[];
-  /** Shards that the sender owns and most of whose workers don't reach it. */
+  /** Shards of the sender most of whose workers can't reach it. */
   unreachableShards: number[];
-  /** By shard of another owner, how many of its machines sent the sender a heartbeat recently. */
+  /** For each shard of another owner, how many of its machines recently sent heartbeats to the sender. */
   redirected: { shard: number; machines: number }[];
-  /** Absent where suspicion is off at the sender, and from versions without it. */
+  /** Absent when suspicion is off at the sender, and from versions without it. */
   view?: PeerView;
-  /** Set by the reader: the message held a view that is malformed. */
+  /** Set by the receiver: the message contained a malformed view. */
   isViewMalformed?: boolean;
 }
 
@@ -59,10 +59,10 @@
   | { kind: 'lease extension request'; request: LeaseExtensionRequest }
   | { kind: 'lease extension grant'; grant: LeaseExtensionGrant };
 
-/** A heartbeat as protobuf has it. */
+/** A heartbeat in its protobuf form. */
 type EncodedHeartbeat = Omit<PeerHeartbeat, 'view'> & { view: unknown };
 
-/** A change notification as protobuf has it. */
+/** A change notification in its protobuf form. */
 interface EncodedNotification {
   key: string;
   version: number;
@@ -71,7 +71,7 @@
   value: Uint8Array;
 }
 
-/** A peer message as protobuf has it: one of the fields is present. */
+/** A peer message in its protobuf form: exactly one field is set. */
 interface EncodedMessage {
   changeNotification: EncodedNotification | null;
   heartbeat: EncodedHeartbeat | null;
--- a/src/protocol/users.ts
+++ b/src/protocol/users.ts
@@ -39,10 +39,10 @@
 
 const dependenciesSchema = z.array(jobId).nullish();
 
-/** Priorities by their word on the wire. */
+/** Priorities by their names on the wire. */
 const PRIORITIES = { prod: 'production', urgent: 'high', normal: 'normal', best_effort: 'low' } as const;
 
-/** The words on the wire for the states of a job. */
+/** The names of job states on the wire. */
 const STANDINGS: Record<JobState, string> = {
   queued: 'pending',
   running: 'running',
@@ -50,10 +50,10 @@
   cancelled: 'withdrawn',
 };
 
-/** A submission as it was read. */
+/** The result of reading a submission. */
 export type Submission =
   | { readonly kind: 'valid'; readonly job: Job }
-  /** All but its list of dependencies can be read: harmless where the job was accepted before. */
+  /** Only its list of dependencies is invalid: harmless if the job was accepted before. */
   | { readonly kind: 'invalid dependencies'; readonly id: string; readonly error: string }
   | { readonly kind: 'invalid'; readonly error: string };
 
@@ -63,7 +63,7 @@
   return `${path.join('.')}: ${issue?.message ?? 'invalid'}`;
 }
 
-/** Reads a submission, or says what is wrong with it. */
+/** Reads a submission; an invalid one comes with the first error. */
 export function readSubmission(body: Uint8Array): Submission {
   const map = decodeMap(body);
   if (!map) return { kind: 'invalid', error: 'the body is not a MessagePack map' };
@@ -115,7 +115,7 @@
   return { ...fields, awaits: unfinished.slice(0, MAX_LISTED_DEPENDENCIES) };
 }
 
-/** The body of a response with a job's state alone. */
+/** The body of a response with only a job's state. */
 export function writeJobState(id: string, state: JobState): Record<string, unknown> {
   return { nameId: id, standing: STANDINGS[state] };
 }
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -5,7 +5,7 @@
 
 const count = z.int().min(0);
 
-/** Phases by their word on the wire. */
+/** Phases by their names on the wire. */
 const PHASES: Record<string, AttemptPhase> = {
   fetching: 'fetching',
   running: 'running',
@@ -13,7 +13,7 @@
   ended: 'exited',
 };
 
-/** Exit causes by their word on the wire. */
+/** Exit causes by their names on the wire. */
 const CAUSES: Record<string, ExitCause> = {
   done: 'done',
   halted: 'stopped',
@@ -23,7 +23,7 @@
   unknown: 'unknown',
 };
 
-/** The words on the wire for the commands. */
+/** The names of commands on the wire. */
 const VERBS = { start: 'run', stop: 'halt', forget: 'reap' } as const;
 
 const attemptSchema = z.object({
@@ -55,13 +55,13 @@
     task: Number(wire.piece.slice(slash + 1)),
     attempt: wire.try,
     phase,
-    // An exit whose cause this version doesn't know is a failure like any other.
+    // A cause that this version doesn't know is treated as an ordinary failure.
     cause: phase === 'exited' ? (CAUSES[wire.cause ?? ''] ?? 'error') : null,
     hasCheckpoint: wire.stored ?? false,
   };
 }
 
-/** Checks a decoded heartbeat, whole or not at all: a malformed one must not change any table. */
+/** Reads a decoded heartbeat; undefined when any part is malformed, so that it changes no table. */
 export function parseHeartbeat(value: unknown): WorkerHeartbeat | undefined {
   const parsed = heartbeatSchema.safeParse(value);
   if (!parsed.success) return undefined;
@@ -95,12 +95,12 @@
   return command.op === 'stop' ? { ...fields, leewayS: command.graceS } : fields;
 }
 
-/** The commands as the worker takes them; it executes them in order. */
+/** Encodes commands for a worker, which executes them in order. */
 export function writeCommands(commands: readonly WorkerCommand[]): Record<string, unknown>[] {
   return commands.map(writeCommand);
 }
 
-/** The body of a response that renews the worker's lease, and carries commands. */
+/** The body of a response that renews the worker's lease and contains commands. */
 export function writeHeartbeatResponse(
   fencingToken: number,
   commands: readonly WorkerCommand[],
@@ -108,12 +108,12 @@
   return { baton: fencingToken, orders: writeCommands(commands) };
 }
 
-/** The body of a response that sends the worker to the owner of its shard, or to any other controller. */
+/** The body of a response that redirects the worker to the owner of its shard, or to any other controller. */
 export function writeRedirect(owner: string | undefined): Record<string, unknown> {
   return owner === undefined ? {} : { foreman: owner };
 }
 
-/** The body of a request that sends commands straight to a worker; it executes them only in this incarnation. */
+/** The body of a request that sends commands directly to a worker, which executes them only in this incarnation. */
 export function writeCommandRequest(
   fencingToken: number,
   incarnation: number,
