--- a/src/base/sockets.ts
+++ b/src/base/sockets.ts
@@ -34,9 +34,8 @@
 const WORKERS_SHARE = 7 / 8;
 
 /**
- * Allocates the sockets. The owner of a shard has a connection from each of its machines, and each open outbound
- * connection leaves one socket fewer for these. So commands use few connections, and idle ones are closed as workers
- * connect.
+ * Allocates the sockets. A shard's owner needs an inbound connection from each of its machines, and outbound connections
+ * reduce the sockets for these. So commands use few connections, and idle ones are closed as workers connect.
  */
 export function allocateSockets(fileLimit: number, peers: number): SocketShares {
   const commands = Math.floor(fileLimit * COMMANDS_SHARE);
--- a/src/protocol/http-key-value-store.ts
+++ b/src/protocol/http-key-value-store.ts
@@ -75,8 +75,7 @@
     await this.options.requests.take(1, MAX_TOKEN_WAIT_MS);
     const response = await this.#call('GET', `/store/${key}`, undefined);
     if (response.status === STATUS_NOT_FOUND) {
-      // Only a 404 with the store's own body means that the key does not exist. Without this check, any other 404 would
-      // make an accepted job appear unknown.
+      // Requires the store's own body: any other 404 would make an accepted job appear unknown.
       parseBody(response.body, notFoundSchema);
       return null;
     }
