--- a/src/transport/rate-limit.ts
+++ b/src/transport/rate-limit.ts
@@ -18,7 +18,7 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly tokensPerSecond: number,
+    private readonly perSecond: number,
     private readonly burst: number,
   ) {
     this.#tokens = burst;
@@ -35,9 +35,8 @@
   async take(count = 1, maxWaitMs = Infinity): Promise<void> {
     this.#refill();
     const missing = Math.min(count, this.burst) - this.#tokens;
-    const waitMs = (missing / this.tokensPerSecond) * MS_PER_S;
-    if (waitMs > maxWaitMs)
-      throw new RateLimitExceededError(`the next token is available in ${Math.round(waitMs)} ms`);
+    const waitMs = (missing / this.perSecond) * MS_PER_S;
+    if (waitMs > maxWaitMs) throw new RateLimitExceededError(`next token in ${Math.round(waitMs)} ms`);
     this.#tokens -= count;
     if (waitMs > 0) await this.clock.sleep(waitMs);
   }
@@ -46,7 +45,7 @@
     const now = this.clock.now();
     this.#tokens = Math.min(
       this.burst,
-      this.#tokens + ((now - this.#refilledAt) / MS_PER_S) * this.tokensPerSecond,
+      this.#tokens + ((now - this.#refilledAt) / MS_PER_S) * this.perSecond,
     );
     this.#refilledAt = now;
   }
