--- a/src/admission/admission-control.ts
+++ b/src/admission/admission-control.ts
@@ -99,7 +99,7 @@
   async refresh(terms: AdmissionTerms, failedKeys: readonly string[]): Promise<boolean> {
     const stale = terms.conditions.map(({ key }) => key).filter((key) => failedKeys.includes(key));
     if (stale.length === 0) return false;
-    await this.#readAgain(stale);
+    await this.#refreshCache(stale);
     return true;
   }
 
@@ -128,7 +128,7 @@
           this.#isMalformedReported = false;
           return { epoch: this.#hasExpired(found.epochMs) ? undefined : found.epoch, condition };
         case 'stale':
-          await this.#readAgain(found.keys);
+          await this.#refreshCache(found.keys);
       }
     }
     throw new NoResponseError('the admission epoch is just being written', false);
@@ -153,7 +153,7 @@
     return this.context.clock.now() - this.#epochSeenAt > epochMs * EXPIRES_AFTER_EPOCHS;
   }
 
-  async #readAgain(keys: readonly string[]): Promise<void> {
+  async #refreshCache(keys: readonly string[]): Promise<void> {
     const { cache, store } = this.context;
     for (const key of keys) {
       const entry = await store.get(key);
--- a/src/admission/epoch-records.ts
+++ b/src/admission/epoch-records.ts
@@ -68,13 +68,13 @@
   | { readonly kind: 'malformed' };
 
 /** Reads the epoch, with the grants of the classes that are wanted. */
-export function readEpoch(source: RecordSource, isWanted: (jobClass: string) => boolean): EpochReadResult {
+export function readEpoch(source: RecordSource, isIncluded: (jobClass: string) => boolean): EpochReadResult {
   const stored = source.get(KEY.admission);
   if (!stored) return { kind: 'none' };
   const header = read.admission(stored.value);
   if (!header) return { kind: 'malformed' };
   const grants: FlowGrant[] = [];
-  for (const jobClass of header.classes.filter(isWanted)) {
+  for (const jobClass of header.classes.filter(isIncluded)) {
     const key = classRecordKey(jobClass);
     const entry = source.get(key);
     const record = read.admissionClass(entry?.value);
--- a/src/admission/epoch-writer.ts
+++ b/src/admission/epoch-writer.ts
@@ -59,14 +59,14 @@
     if (this.options) this.#growth.observe(countMachines(cache), clock.now());
     const leaderCondition = this.context.leaderCondition();
     if (!leaderCondition) this.#writtenAt = undefined;
-    else if (!this.options) await this.#switchOff(leaderCondition);
+    else if (!this.options) await this.#deleteAllRecords(leaderCondition);
     else if (formatGate.isOpenFor(FORMAT.admission)) await this.#advance(leaderCondition, this.options);
   }
 
   async #advance(leaderCondition: Condition, options: AdmissionOptions): Promise<void> {
     const current = this.#readCurrent(options);
     if (!current) return;
-    this.#compareWeights(current, options);
+    this.#logWeightMismatch(current, options);
     const now = this.context.clock.now();
     const epochMs = options.epochS * MS_PER_S;
     if (current.isOverloaded && this.#writtenAt !== undefined && now - this.#writtenAt < epochMs) return;
@@ -75,12 +75,12 @@
     const elapsedS = this.#elapsedMs(now, epochMs) / MS_PER_S;
     const next = nextEpoch(current, { load, stalledForS, flows, elapsedS }, options);
     if (next === current) {
-      await this.#cleanUp(leaderCondition, current);
+      await this.#deleteObsoleteRecords(leaderCondition, current);
       return;
     }
     if (!(await this.#write(leaderCondition, next, epochMs))) return;
     this.#writtenAt = now;
-    this.#report(current, next, drainTimeS(load));
+    this.#logEpoch(current, next, drainTimeS(load));
   }
 
   /** The epoch that the next one follows; undefined when the records don't tell at present. */
@@ -119,16 +119,16 @@
     return true;
   }
 
-  #report(current: Epoch, next: Epoch, drainS: number): void {
+  #logEpoch(current: Epoch, next: Epoch, drainS: number): void {
     const { log } = this.context;
-    const facts = { epoch: next.number, overload: next.overload, drainS: Math.round(drainS) };
-    if (!current.isOverloaded) log.warn(facts, 'admission: overload begins');
-    else if (!next.isOverloaded) log.warn(facts, 'admission: overload ends');
-    else log.info({ ...facts, flows: next.grants.length }, 'admission: epoch');
+    const logFields = { epoch: next.number, overload: next.overload, drainS: Math.round(drainS) };
+    if (!current.isOverloaded) log.warn(logFields, 'admission: overload begins');
+    else if (!next.isOverloaded) log.warn(logFields, 'admission: overload ends');
+    else log.info({ ...logFields, flows: next.grants.length }, 'admission: epoch');
   }
 
   /** Controllers with differing weights: those of the epoch are in force until the overload is over. */
-  #compareWeights(current: Epoch, options: AdmissionOptions): void {
+  #logWeightMismatch(current: Epoch, options: AdmissionOptions): void {
     const inForce = JSON.stringify(current.weights);
     const differ = current.isOverloaded && inForce !== JSON.stringify(options.weights);
     if (differ && this.#reportedWeights !== inForce) {
@@ -138,18 +138,18 @@
   }
 
   /** Deletes records of overloads that are over. */
-  async #cleanUp(leaderCondition: Condition, current: Epoch): Promise<void> {
+  async #deleteObsoleteRecords(leaderCondition: Condition, current: Epoch): Promise<void> {
     if (current.isOverloaded) return;
-    await this.#deleteSome(leaderCondition, (value) => {
+    await this.#deleteRecords(leaderCondition, (value) => {
       const flow = read.admissionFlow(value);
       return flow === undefined || flow.overload <= current.overload;
     });
   }
 
   /** Admission is off at the leader: an overload in force ends at once for all controllers. */
-  async #switchOff(leaderCondition: Condition): Promise<void> {
+  async #deleteAllRecords(leaderCondition: Condition): Promise<void> {
     if (this.context.cache.get(KEY.admission)) await this.#deleteEpoch(leaderCondition);
-    else await this.#deleteSome(leaderCondition, () => true);
+    else await this.#deleteRecords(leaderCondition, () => true);
   }
 
   async #deleteEpoch(leaderCondition: Condition): Promise<void> {
@@ -163,19 +163,19 @@
   }
 
   /** Deletes class and flow records that are over, as many as one transaction may. */
-  async #deleteSome(leaderCondition: Condition, isOver: (value: unknown) => boolean): Promise<void> {
+  async #deleteRecords(leaderCondition: Condition, isObsolete: (value: unknown) => boolean): Promise<void> {
     const { cache, store, maxChanges } = this.context;
-    const over = [PREFIX.admissionClass, PREFIX.admissionFlow]
+    const obsolete = [PREFIX.admissionClass, PREFIX.admissionFlow]
       .flatMap((prefix) => [...cache.under(prefix)])
-      .filter(({ value }) => isOver(value))
+      .filter(({ value }) => isObsolete(value))
       .slice(0, Math.min(MAX_DELETIONS_AT_ONCE, maxChanges));
-    if (over.length === 0) return;
+    if (obsolete.length === 0) return;
     const conditions = [
       leaderCondition,
       this.#condition(KEY.admission),
-      ...over.map(({ key, version }) => ({ key, version })),
+      ...obsolete.map(({ key, version }) => ({ key, version })),
     ];
-    const deletions: Change[] = over.map(({ key }) => ({ delete: key }));
+    const deletions: Change[] = obsolete.map(({ key }) => ({ delete: key }));
     await store.compareAndSwap(conditions, deletions);
   }
 
--- a/src/admission/epoch.ts
+++ b/src/admission/epoch.ts
@@ -58,9 +58,9 @@
 }
 
 /** The epoch that follows; the same object when nothing changes, so that nothing has to be written. */
-export function nextEpoch(current: Epoch, facts: EpochInput, options: AdmissionOptions): Epoch {
-  const { load, stalledForS } = facts;
-  const isAnyGrantExhausted = hasExhaustedGrant(current, facts.flows);
+export function nextEpoch(current: Epoch, input: EpochInput, options: AdmissionOptions): Epoch {
+  const { load, stalledForS } = input;
+  const isAnyGrantExhausted = hasExhaustedGrant(current, input.flows);
   const state = { wasOverloaded: current.isOverloaded, isAnyGrantExhausted, load, stalledForS };
   const overloaded = isOverloaded(state, options);
   if (!overloaded && !current.isOverloaded) return current;
@@ -68,8 +68,8 @@
     return { ...initialEpoch(options.weights), number: current.number + 1, overload: current.overload };
   }
   return current.isOverloaded
-    ? continueOverload(current, facts, options)
-    : beginOverload(current, facts, options);
+    ? continueOverload(current, input, options)
+    : beginOverload(current, input, options);
 }
 
 /**
@@ -84,14 +84,14 @@
 }
 
 /** Each flow begins with what its share earns in a few epochs, less what it has taken beyond its share already. */
-function beginOverload(current: Epoch, facts: EpochInput, options: AdmissionOptions): Epoch {
+function beginOverload(current: Epoch, input: EpochInput, options: AdmissionOptions): Epoch {
   const { weights } = options;
-  const rates = flowRates(facts, options, weights);
-  const total = facts.flows.reduce((sum, { backlog }) => sum + backlog, 0);
-  const claims = facts.flows.map(({ jobClass, team, backlog }) => ({ jobClass, team, demand: backlog }));
-  const targetShare = options.leaveS / Math.max(drainTimeS(facts.load), options.leaveS);
-  const fairBacklogs = fairSharesByFlow(total * targetShare, claims, weights);
-  const grants = facts.flows.map(({ jobClass, team, backlog }) => {
+  const rates = flowRates(input, options, weights);
+  const totalBacklog = input.flows.reduce((sum, { backlog }) => sum + backlog, 0);
+  const demands = input.flows.map(({ jobClass, team, backlog }) => ({ jobClass, team, demand: backlog }));
+  const targetShare = options.leaveS / Math.max(drainTimeS(input.load), options.leaveS);
+  const fairBacklogs = fairSharesByFlow(totalBacklog * targetShare, demands, weights);
+  const grants = input.flows.map(({ jobClass, team, backlog }) => {
     const key = flowKey({ jobClass, team });
     const rate = rates.get(key) ?? 0;
     const excess = Math.max(0, backlog - (fairBacklogs.get(key) ?? 0));
@@ -106,25 +106,25 @@
   });
 }
 
-function continueOverload(current: Epoch, facts: EpochInput, options: AdmissionOptions): Epoch {
+function continueOverload(current: Epoch, input: EpochInput, options: AdmissionOptions): Epoch {
   // Weights change with the next overload only, so that no flow's debt is worked out by two measures.
   const { weights } = current;
-  const rates = flowRates(facts, options, weights);
-  const savingsLimit = (key: string): number => (rates.get(key) ?? 0) * options.epochS * MAX_SAVED_EPOCHS;
+  const rates = flowRates(input, options, weights);
+  const maxCredit = (key: string): number => (rates.get(key) ?? 0) * options.epochS * MAX_SAVED_EPOCHS;
   const grantedTo = grantLookup(current);
-  const states = facts.flows.map((flow) => {
+  const states = input.flows.map((flow) => {
     const granted = grantedTo(flow);
     return { ...flow, key: flowKey(flow), granted, isExhausted: flow.admitted >= granted };
   });
-  const claims: FlowDemand[] = states.map(({ jobClass, team, key, granted, admitted, isExhausted }) => ({
+  const demands: FlowDemand[] = states.map(({ jobClass, team, key, granted, admitted, isExhausted }) => ({
     jobClass,
     team,
-    demand: isExhausted ? Infinity : Math.max(0, savingsLimit(key) - (granted - admitted)),
+    demand: isExhausted ? Infinity : Math.max(0, maxCredit(key) - (granted - admitted)),
   }));
-  const amount = admissionRate(facts, options) * facts.elapsedS;
-  const shares = fairSharesByFlow(amount, claims, weights);
+  const amount = admissionRate(input, options) * input.elapsedS;
+  const shares = fairSharesByFlow(amount, demands, weights);
   const grants = states.map(({ jobClass, team, key, granted, admitted, isExhausted }) => {
-    const usable = isExhausted ? granted : Math.min(granted, admitted + savingsLimit(key));
+    const usable = isExhausted ? granted : Math.min(granted, admitted + maxCredit(key));
     return { jobClass, team, granted: usable + (shares.get(key) ?? 0), rate: rates.get(key) ?? 0 };
   });
   return overloadEpoch(current, {
@@ -155,9 +155,9 @@
 }
 
 /** What each flow would be granted a second if all of them had unlimited demand. */
-function flowRates(facts: EpochInput, options: AdmissionOptions, weights: Weights): Map<string, number> {
-  const claims = facts.flows.map(({ jobClass, team }) => ({ jobClass, team, demand: Infinity }));
-  return fairSharesByFlow(admissionRate(facts, options), claims, weights);
+function flowRates(input: EpochInput, options: AdmissionOptions, weights: Weights): Map<string, number> {
+  const demands = input.flows.map(({ jobClass, team }) => ({ jobClass, team, demand: Infinity }));
+  return fairSharesByFlow(admissionRate(input, options), demands, weights);
 }
 
 /** What the next epoch of an overload is made of. */
@@ -171,8 +171,8 @@
 }
 
 /** The epoch that follows with these terms. A new flow may take what the flow with the lowest rate may save up. */
-function overloadEpoch(current: Epoch, terms: OverloadEpochFields): Epoch {
-  const { overload, weights, grants, rates, epochS } = terms;
+function overloadEpoch(current: Epoch, fields: OverloadEpochFields): Epoch {
+  const { overload, weights, grants, rates, epochS } = fields;
   const smallestRate = rates.size === 0 ? 1 : Math.min(...rates.values());
   return {
     number: current.number + 1,
--- a/src/admission/fair-shares.ts
+++ b/src/admission/fair-shares.ts
@@ -31,10 +31,10 @@
  */
 export function maxMinFairShares<Key>(
   amount: number,
-  claims: readonly WeightedDemand<Key>[],
+  demands: readonly WeightedDemand<Key>[],
 ): Map<Key, number> {
-  const shares = new Map<Key, number>(claims.map(({ key }) => [key, 0]));
-  let unsatisfied = claims.filter(({ demand, weight }) => demand > 0 && weight > 0);
+  const shares = new Map<Key, number>(demands.map(({ key }) => [key, 0]));
+  let unsatisfied = demands.filter(({ demand, weight }) => demand > 0 && weight > 0);
   let remaining = amount;
   while (unsatisfied.length > 0 && remaining > EPSILON) {
     const totalWeight = unsatisfied.reduce((sum, { weight }) => sum + weight, 0);
@@ -48,7 +48,7 @@
       shares.set(key, demand);
       remaining -= demand;
     }
-    unsatisfied = unsatisfied.filter((claim) => !satisfied.includes(claim));
+    unsatisfied = unsatisfied.filter((entry) => !satisfied.includes(entry));
   }
   return shares;
 }
@@ -56,27 +56,27 @@
 /** Divides an amount among classes first, then within each class among its teams. The result is by `flowKey`. */
 export function fairSharesByFlow(
   amount: number,
-  claims: readonly FlowDemand[],
+  demands: readonly FlowDemand[],
   weights: Weights,
 ): Map<string, number> {
   const byClass = new Map<string, FlowDemand[]>();
-  for (const claim of claims) {
-    byClass.set(claim.jobClass, [...(byClass.get(claim.jobClass) ?? []), claim]);
+  for (const flowDemand of demands) {
+    byClass.set(flowDemand.jobClass, [...(byClass.get(flowDemand.jobClass) ?? []), flowDemand]);
   }
-  const classClaims = [...byClass].map(([key, members]) => ({
+  const classDemands = [...byClass].map(([key, members]) => ({
     key,
     weight: weights.classes[key] ?? DEFAULT_WEIGHT,
     demand: members.reduce((sum, { demand }) => sum + demand, 0),
   }));
-  const classShares = maxMinFairShares(amount, classClaims);
+  const classShares = maxMinFairShares(amount, classDemands);
   const shares = new Map<string, number>();
   for (const [jobClass, members] of byClass) {
-    const teamClaims = members.map(({ team, demand }) => ({
+    const teamDemands = members.map(({ team, demand }) => ({
       key: team,
       weight: weights.teams[team] ?? DEFAULT_WEIGHT,
       demand,
     }));
-    for (const [team, share] of maxMinFairShares(classShares.get(jobClass) ?? 0, teamClaims)) {
+    for (const [team, share] of maxMinFairShares(classShares.get(jobClass) ?? 0, teamDemands)) {
       shares.set(flowKey({ jobClass, team }), share);
     }
   }
--- a/src/admission/load-snapshot.ts
+++ b/src/admission/load-snapshot.ts
@@ -60,11 +60,11 @@
     if (!flows.has(key)) flows.set(key, { jobClass, team, backlog: 0 });
   }
   const load = { backlog: servableBacklog(backlogOfTeam, context, horizonS), capacity: fleetCpus(context) };
-  const withAdmitted = [...flows.values()].map((flow) => {
+  const flowLoads = [...flows.values()].map((flow) => {
     const value = context.cache.get(flowRecordKey(flow))?.value;
     return { ...flow, admitted: readAdmitted(value, epoch.overload) };
   });
-  return { load, flows: withAdmitted };
+  return { load, flows: flowLoads };
 }
 
 function remainingWork({ tasks, cpus, estimateS }: Job, progress: TaskProgress | undefined): number {
--- a/src/suspicion/handover-trace.ts
+++ b/src/suspicion/handover-trace.ts
@@ -41,11 +41,11 @@
   }
 
   /** A step was reached; `facts` go into its log line. */
-  recordStep(step: HandoverStep, facts: Readonly<Record<string, number | string>> = {}): void {
+  recordStep(step: HandoverStep, fields: Readonly<Record<string, number | string>> = {}): void {
     if (this.#reached.has(step) || this.isComplete) return;
     this.#reached.add(step);
     const atMs = Math.round(this.context.clock.now() - this.#startedAt);
-    this.context.log.info({ shard: this.shard, step, atMs, ...facts }, 'handover');
+    this.context.log.info({ shard: this.shard, step, atMs, ...fields }, 'handover');
     this.#span.addEvent(step, { 'handover.at_ms': atMs });
     if (this.isComplete) this.#span.end();
   }
--- a/src/suspicion/heartbeat-intervals.ts
+++ b/src/suspicion/heartbeat-intervals.ts
@@ -5,7 +5,7 @@
 const RELATIVE_ACCURACY = 0.02;
 const MAX_BINS = 256;
 /** Intervals in a generation: with one heartbeat a second, about four minutes. */
-const GENERATION_SIZE = 256;
+const INTERVALS_PER_GENERATION = 256;
 /** Fewer intervals than this say nothing about their distribution. */
 const MIN_INTERVALS = 8;
 /** Longer intervals count as this long: an outage says nothing about how regular heartbeats are. */
@@ -27,7 +27,7 @@
 
   /** Takes in an interval in milliseconds. */
   add(intervalMs: number): void {
-    if (this.#current.count >= GENERATION_SIZE) {
+    if (this.#current.count >= INTERVALS_PER_GENERATION) {
       this.#previous = this.#current;
       this.#current = newSketch();
     }
--- a/src/suspicion/move-limiter.ts
+++ b/src/suspicion/move-limiter.ts
@@ -19,9 +19,9 @@
 
   /** The record of a shard names an owner. */
   recordOwner(shard: number, owner: string, now: number): void {
-    const before = this.#owners.get(shard);
+    const previousOwner = this.#owners.get(shard);
     this.#owners.set(shard, owner);
-    if (before === undefined || before === owner) return;
+    if (previousOwner === undefined || previousOwner === owner) return;
     this.#movedAt.set(shard, now);
     this.#moves = this.#moves.filter((at) => now - at < WINDOW_MS);
     this.#moves.push(now);
@@ -29,8 +29,8 @@
 
   /** Whether suspicion may take this shard from its owner now. */
   allowsMove(shard: number, now: number): boolean {
-    const hasSettled = now - (this.#movedAt.get(shard) ?? -Infinity) >= SHARD_COOLDOWN_MS;
-    return hasSettled && this.allowsAnyMove(now);
+    const hasCooledDown = now - (this.#movedAt.get(shard) ?? -Infinity) >= SHARD_COOLDOWN_MS;
+    return hasCooledDown && this.allowsAnyMove(now);
   }
 
   /** Whether suspicion may move any shard now: one whose lease is free needs no time to settle. */
--- a/src/suspicion/options.ts
+++ b/src/suspicion/options.ts
@@ -58,7 +58,7 @@
 /** Reads and checks the table; undefined when suspicion is off. Throws `SettingsError` with the file and the key. */
 export function readSuspicionOptions(settings: Settings): SuspicionOptions | undefined {
   const table = readOperatorTable('suspicion', settings, suspicionSchema, (checked) =>
-    contradiction(checked, settings.shardLeaseMs / MS_PER_S),
+    findContradiction(checked, settings.shardLeaseMs / MS_PER_S),
   );
   return table?.enabled ? toOptions(table) : undefined;
 }
@@ -85,11 +85,11 @@
 }
 
 /** Settings that contradict each other, with the key at fault; `shardLeaseS` is the lease that follows from the settings. */
-function contradiction(table: SuspicionTable, shardLeaseS: number): string | undefined {
+function findContradiction(table: SuspicionTable, shardLeaseS: number): string | undefined {
   // The expiry of the lease is the verdict: a suspicion or a handover that comes after it is of no use.
-  const mustPrecedeVerdict = ['timeout_s', 'stall_s', 'give_up_after_s', 'min_deviation_s'] as const;
-  const late = mustPrecedeVerdict.find((key) => table[key] >= shardLeaseS);
-  if (late !== undefined) return `${late}: must be smaller than the block lease, ${shardLeaseS} s`;
+  const shorterThanLease = ['timeout_s', 'stall_s', 'give_up_after_s', 'min_deviation_s'] as const;
+  const tooLong = shorterThanLease.find((key) => table[key] >= shardLeaseS);
+  if (tooLong !== undefined) return `${tooLong}: must be smaller than the block lease, ${shardLeaseS} s`;
   if (table.stall_window_s < table.stalls * table.stall_s) {
     return 'stall_window_s: must hold as many stalls of stall_s as stalls asks for';
   }
--- a/src/suspicion/peer-detector.ts
+++ b/src/suspicion/peer-detector.ts
@@ -54,7 +54,7 @@
  */
 export class PeerDetector {
   readonly #peers: ReadonlyMap<string, ObservedPeer>;
-  readonly #running: RunningClock;
+  readonly #runningClock: RunningClock;
   /** The views that count, until a tick or a heartbeat may change which do. */
   #currentViews: ReadonlyMap<string, PeerView> | undefined;
 
@@ -64,13 +64,13 @@
     startedAt: number,
     private readonly onChange: (change: StatusChange) => void,
   ) {
-    this.#running = new RunningClock(startedAt);
+    this.#runningClock = new RunningClock(startedAt);
     this.#peers = new Map(peers.map((name) => [name, newPeer(name, startedAt)]));
   }
 
   /** The clock of evidence; silence is measured in its time. */
   get runningClock(): RunningClock {
-    return this.#running;
+    return this.#runningClock;
   }
 
   /** Whether the settings name this peer. */
@@ -111,22 +111,22 @@
       kind: 'heartbeat',
       sessionEpoch: view?.run ?? 0,
       incarnation: view?.incarnation ?? 0,
-      runningMs: this.#running.runningMs,
+      runningMs: this.#runningClock.runningMs,
     };
-    this.#observe(peer, heartbeat, now);
+    this.#applyObservation(peer, heartbeat, now);
     this.#currentViews = undefined;
   }
 
   /** Looks at all peers at a steady time; `sessionOf` tells what the records say. To be called every `TICK_MS`. */
   tick(now: number, sessionOf: (name: string) => SessionState): void {
-    this.#running.tick(now);
+    this.#runningClock.tick(now);
     this.#currentViews = undefined;
     for (const peer of this.#peers.values()) {
       const session = sessionOf(peer.name);
-      if (session === 'ended') this.#observe(peer, { kind: 'session ended' }, now);
-      if (session === 'exists') this.#observe(peer, { kind: 'session exists' }, now);
-      this.#reviewSilence(peer, now);
-      this.#observe(peer, { kind: 'time' }, now);
+      if (session === 'ended') this.#applyObservation(peer, { kind: 'session ended' }, now);
+      if (session === 'exists') this.#applyObservation(peer, { kind: 'session exists' }, now);
+      this.#checkSilence(peer, now);
+      this.#applyObservation(peer, { kind: 'time' }, now);
     }
   }
 
@@ -166,7 +166,7 @@
   #silentMs({ state }: ObservedPeer): number | undefined {
     return state.lastHeartbeatRunningMs === undefined
       ? undefined
-      : this.#running.runningMs - state.lastHeartbeatRunningMs;
+      : this.#runningClock.runningMs - state.lastHeartbeatRunningMs;
   }
 
   #isUnresponsive(peer: ObservedPeer): boolean {
@@ -176,11 +176,11 @@
   }
 
   /** A silence is suspicious unless another controller received a heartbeat meanwhile: then only the link here is cut. */
-  #reviewSilence(peer: ObservedPeer, now: number): void {
+  #checkSilence(peer: ObservedPeer, now: number): void {
     if (!this.#isUnresponsive(peer) || peer.state.status === 'unknown') return;
     const incarnation = this.#incarnationSeenByOthers(peer, now);
-    if (incarnation === undefined) this.#observe(peer, { kind: 'silence' }, now);
-    else this.#observe(peer, { kind: 'indirect heartbeat', incarnation }, now);
+    if (incarnation === undefined) this.#applyObservation(peer, { kind: 'silence' }, now);
+    else this.#applyObservation(peer, { kind: 'indirect heartbeat', incarnation }, now);
   }
 
   /** The newest incarnation of which another controller received a heartbeat a moment ago; undefined when none did. */
@@ -198,7 +198,7 @@
     return newest;
   }
 
-  #observe(peer: ObservedPeer, observation: PeerObservation, now: number): void {
+  #applyObservation(peer: ObservedPeer, observation: PeerObservation, now: number): void {
     const before = peer.state;
     const after = applyObservation(before, observation, this.options, now);
     peer.state = after;
--- a/src/suspicion/peer-reachability.ts
+++ b/src/suspicion/peer-reachability.ts
@@ -18,8 +18,8 @@
 export class PeerReachability {
   readonly #heartbeats = new Map<string, PeerHeartbeat>();
   readonly #redirected = new Map<string, { shard: number; at: number }>();
-  #heardAt = -Infinity;
-  #freshPeerAt = -Infinity;
+  #lastHeartbeatAt = -Infinity;
+  #lastFreshHeartbeatAt = -Infinity;
 
   constructor(
     private readonly clock: Clock,
@@ -35,20 +35,20 @@
   /** Takes in a peer's heartbeat. */
   onHeartbeat(heartbeat: PeerHeartbeat): void {
     const now = this.clock.now();
-    this.#heardAt = now;
-    if (heartbeat.isViewFresh) this.#freshPeerAt = now;
+    this.#lastHeartbeatAt = now;
+    if (heartbeat.isViewFresh) this.#lastFreshHeartbeatAt = now;
     this.#heartbeats.set(heartbeat.from, heartbeat);
     this.liveness.onHeartbeat(heartbeat);
   }
 
   /** Steady time of the latest heartbeat of any peer. */
   get lastHeartbeatAt(): number {
-    return this.#heardAt;
+    return this.#lastHeartbeatAt;
   }
 
   /** Steady time of the latest heartbeat of a peer whose view of the key-value store was fresh. */
   get lastFreshHeartbeatAt(): number {
-    return this.#freshPeerAt;
+    return this.#lastFreshHeartbeatAt;
   }
 
   /** How many machines of each shard were redirected from here lately. */
@@ -76,14 +76,14 @@
   successor(shard: number, machines: number, unreachable: number): string | undefined {
     if (!areMostUnreachable(machines, unreachable)) return undefined;
     let best: { peer: string; reached: number } | undefined;
-    let reachedByAll = 0;
+    let reachedByPeers = 0;
     for (const [peer, heartbeat] of this.#heartbeats) {
       if (this.liveness.isUnresponsive(peer) || !heartbeat.isViewFresh) continue;
       const reached = heartbeat.redirected.find((entry) => entry.shard === shard)?.machines ?? 0;
-      reachedByAll += reached;
+      reachedByPeers += reached;
       if (reached > (best?.reached ?? 0)) best = { peer, reached };
     }
-    return reachedByAll >= machines / 2 ? best?.peer : undefined;
+    return reachedByPeers >= machines / 2 ? best?.peer : undefined;
   }
 }
 
--- a/src/suspicion/peer-state.ts
+++ b/src/suspicion/peer-state.ts
@@ -89,10 +89,10 @@
 
 function onTime(state: PeerState, options: SuspicionOptions, now: number): PeerState {
   const elapsedMs = now - state.since;
-  const isOver =
+  const hasElapsed =
     (state.status === 'refuted' && elapsedMs >= REFUTED_FOR_MS) ||
     (state.status === 'returned' && elapsedMs >= options.probationMs);
-  return isOver ? withStatus(state, 'alive', 'none', now) : state;
+  return hasElapsed ? withStatus(state, 'alive', 'none', now) : state;
 }
 
 /** The state after an observation at a steady time. */
--- a/src/suspicion/peers-report.ts
+++ b/src/suspicion/peers-report.ts
@@ -63,9 +63,9 @@
 }
 
 /** Puts the report together: the opinions of this controller first, then those of its peers by their names. */
-export function peersReport(facts: PeersReportInput): PeersReport {
-  const { controllerId, view, views } = facts;
-  const own = view.opinions.map((opinion) => rowOf(controllerId, opinion, facts.phiOf(opinion.node)));
+export function peersReport(input: PeersReportInput): PeersReport {
+  const { controllerId, view, views } = input;
+  const own = view.opinions.map((opinion) => rowOf(controllerId, opinion, input.phiOf(opinion.node)));
   const others = [...views]
     .sort(([a], [b]) => a.localeCompare(b))
     .flatMap(([from, { opinions }]) => opinions.map((opinion) => rowOf(from, opinion, undefined)));
@@ -74,9 +74,9 @@
     run: view.run,
     incarnation: view.incarnation,
     isStalled: view.isStalled,
-    stalls: facts.stalls,
-    suspectedForMs: facts.suspectedForMs === undefined ? null : Math.round(facts.suspectedForMs),
-    rejected: facts.rejected,
+    stalls: input.stalls,
+    suspectedForMs: input.suspectedForMs === undefined ? null : Math.round(input.suspectedForMs),
+    rejected: input.rejected,
     rows: [...own, ...others],
   };
 }
--- a/src/suspicion/silence.ts
+++ b/src/suspicion/silence.ts
@@ -6,7 +6,7 @@
  * However irregular a peer's heartbeats were, it is suspected after so many times the fixed timeout: a suspicion that comes
  * after the lease has expired, which is the verdict, is of no use.
  */
-const MAX_TIMEOUTS = 1.5;
+const MAX_SILENCE_TIMEOUTS = 1.5;
 
 /** How suspicious the silence of a peer is. */
 export interface SilenceAssessment {
@@ -26,6 +26,7 @@
   }
   const deviationMs = Math.max(distribution.deviationMs, options.minDeviationMs);
   const estimate = phi(silentMs, { meanMs: distribution.meanMs, deviationMs });
-  const isSuspicious = estimate >= options.phiThreshold || silentMs > MAX_TIMEOUTS * options.timeoutMs;
+  const isSuspicious =
+    estimate >= options.phiThreshold || silentMs > MAX_SILENCE_TIMEOUTS * options.timeoutMs;
   return { phi: estimate, isSuspicious };
 }
--- a/src/suspicion/suspicion.ts
+++ b/src/suspicion/suspicion.ts
@@ -64,7 +64,7 @@
       this.#logChange(change);
     });
     cache.onChange((event) => {
-      this.#onRecord(event);
+      this.#onRecordChange(event);
     });
   }
 
@@ -162,11 +162,11 @@
    * controller is better.
    */
   plannedHandover(shard: number, candidates: readonly OwnerCandidate[]): PlannedHandover | undefined {
-    const self = { stalls: this.#stalls(), suspectedSince: this.#suspectedSince };
+    const self = { stalls: this.#recentStalls(), suspectedSince: this.#suspectedSince };
     const reason = plannedHandoverReason(self, this.options, this.context.clock.now());
     if (reason === undefined || !this.allowsMove(shard)) return undefined;
-    const fit = candidates.filter(({ controller }) => this.#isFit(controller));
-    const [successor] = this.rankOwners(shard, fit);
+    const eligible = candidates.filter(({ controller }) => this.#isEligibleSuccessor(controller));
+    const [successor] = this.rankOwners(shard, eligible);
     return successor === undefined ? undefined : { successor, reason };
   }
 
@@ -175,11 +175,11 @@
   }
 
   /** Whether a peer is in a state to own a shard that this controller hands over. */
-  #isFit(peer: string): boolean {
+  #isEligibleSuccessor(peer: string): boolean {
     if (peer === this.context.controllerId || this.isSuspect(peer) || this.isUnresponsive(peer)) return false;
     if (!this.#peersWithFreshView.has(peer) || !this.#detector.views.has(peer)) return false;
     const now = this.context.clock.now();
-    const lastStall = this.#stalls().at(-1);
+    const lastStall = this.#recentStalls().at(-1);
     const sinceStallMs = lastStall === undefined ? Infinity : now - lastStall.to;
     return (this.#detector.lastHeartbeatMsAgo(peer, now) ?? Infinity) < sinceStallMs;
   }
@@ -192,20 +192,20 @@
       view: this.view(),
       views: this.#detector.views,
       phiOf: (peer) => this.#detector.phi(peer),
-      stalls: this.#stalls().length,
+      stalls: this.#recentStalls().length,
       suspectedForMs: this.#suspectedSince === undefined ? undefined : clock.now() - this.#suspectedSince,
       rejected: this.#rejected.counts,
     });
   }
 
   /** The pauses of this process that count as stalls, within the window. */
-  #stalls(): Pause[] {
+  #recentStalls(): Pause[] {
     const { stallWindowMs, stallMs } = this.options;
     return this.#detector.runningClock.pausesSince(this.context.clock.now() - stallWindowMs, stallMs);
   }
 
   #isStalled(): boolean {
-    return isStalled(this.#stalls(), this.options);
+    return isStalled(this.#recentStalls(), this.options);
   }
 
   #sessionOf(peer: string): SessionState {
@@ -214,7 +214,7 @@
     return cache.get(KEY.controller(peer)) === undefined ? 'ended' : 'exists';
   }
 
-  #onRecord({ key, value, deleted }: ChangeEvent): void {
+  #onRecordChange({ key, value, deleted }: ChangeEvent): void {
     if (deleted || !key.startsWith(PREFIX.shard)) return;
     const record = read.shard(value);
     const shard = Number(key.slice(PREFIX.shard.length));
