--- a/src/admission/admission-control.ts
+++ b/src/admission/admission-control.ts
@@ -1,4 +1,4 @@
-/** @file A controller's decisions on submissions, by the epoch that all controllers share. */
+/** @file Admits or defers submitted jobs by the admission epoch that all controllers share. */
 import type { Clock } from '../base/clock';
 import type { Log } from '../base/log';
 import {
@@ -19,38 +19,37 @@
 import { flowOf } from './flow';
 import { traceDecision } from './tracing';
 
-/** An overload whose epoch isn't renewed for so many of its intervals is taken to be over. */
+/** An overload counts as ended when no new epoch was written for this many epoch intervals. */
 const EXPIRES_AFTER_EPOCHS = 6;
-/** How often records are read again before a submission is answered with 503. */
+/** Maximum number of times that stale records are read again before a submission gets a 503 response. */
 const MAX_REREADS = 2;
 
-/** What the decisions work on. */
+/** The services that admission control uses. */
 export interface AdmissionContext {
   readonly store: KeyValueStore;
   readonly cache: WatchCache;
   readonly clock: Clock;
   readonly log: Log;
-  /** Bounds questions about deferred jobs, so that a flood of submissions leaves polls their requests. */
+  /** Limits the look-ups of deferred jobs, so that a flood of submissions leaves enough requests for polls. */
   readonly lookUpLimit: RateLimit;
-  /** Brings a change that the key-value store has acknowledged into this controller's copy, and notifies its peers. */
+  /** Applies a change that the key-value store has acknowledged to the watch cache, and notifies the peers. */
   publish(event: ChangeEvent): void;
 }
 
-/** The epoch in force, undefined while there is no overload, and the condition that proves it. */
-interface EpochInForce {
+/** The current epoch, undefined while there is no overload, and the condition that holds only while it is current. */
+interface CurrentEpoch {
   readonly epoch: Epoch | undefined;
   readonly condition: Condition;
 }
 
 /**
- * Admission by epochs. A decision depends on the epoch, on what the job's flow was admitted in this overload, and on the
- * job; the transaction that accepts the job has the versions of both records as conditions. So a controller whose copy is
- * old can defer a job that is admitted elsewhere, and never admits one that the newest records defer.
- *
- * Outside of an overload the condition on the epoch is all that is added: no request and no change.
+ * Admission by epochs. A decision depends on the epoch, on the work admitted for the job's flow in this overload, and
+ * on the job. The transaction that accepts the job has the versions of the epoch's and the flow's record as conditions.
+ * So a controller with a stale watch cache may defer a job that another one would admit, but never admits a job that
+ * the latest records defer. Outside of an overload, admission adds the condition on the epoch and nothing else.
  */
 export class AdmissionControl implements AdmissionPolicy {
-  /** Steady time at which the present epoch was first seen here. */
+  /** Steady time at which this controller received the current epoch. */
   #epochSeenAt = -Infinity;
   #isMalformedReported = false;
 
@@ -112,10 +111,10 @@
   }
 
   /**
-   * The condition is read together with the epoch: one that is read a turn later might prove the next epoch, by which
-   * nothing was decided.
+   * Reads the epoch and its condition in the same synchronous step. A condition that is read after an `await` could
+   * hold the version of the next epoch, and the transaction would succeed although the decision used the earlier one.
    */
-  async #epochFor(job: Job): Promise<EpochInForce> {
+  async #epochFor(job: Job): Promise<CurrentEpoch> {
     for (let attempt = 0; attempt <= MAX_REREADS; attempt += 1) {
       const condition = this.#condition(KEY.admission);
       const found = readEpoch(this.context.cache, (jobClass) => jobClass === job.jobClass);
@@ -131,23 +130,20 @@
           await this.#refreshCache(found.keys);
       }
     }
-    throw new NoResponseError('the admission epoch is just being written', false);
+    throw new NoResponseError('admission epoch records do not match: write in progress', false);
   }
 
   #rejectMalformed(): never {
     if (!this.#isMalformedReported) {
       this.#isMalformedReported = true;
-      this.context.log.error(
-        { key: KEY.admission },
-        'the admission epoch cannot be read: no job is accepted',
-      );
+      this.context.log.error({ key: KEY.admission }, 'malformed admission epoch: no job is accepted');
     }
-    throw new NoResponseError('the admission epoch cannot be read', false);
+    throw new NoResponseError('the admission epoch is malformed', false);
   }
 
   /**
-   * Whether no leader renews the epoch any more, as admission was switched off at the leader, or at all controllers: then
-   * nothing would ever end the deferrals.
+   * Whether no leader writes epochs any more, because admission was switched off at the leader or at all controllers.
+   * Without this time limit, jobs would be deferred forever.
    */
   #hasExpired(epochMs: number): boolean {
     return this.context.clock.now() - this.#epochSeenAt > epochMs * EXPIRES_AFTER_EPOCHS;
@@ -158,8 +154,8 @@
     for (const key of keys) {
       const entry = await store.get(key);
       if (entry) cache.applyNotification({ ...entry, deleted: false });
-      // The record was deleted; the watch brings that in a moment.
-      else if (cache.get(key)) throw new NoResponseError(`${key} was deleted`, false);
+      // The record was deleted, and the watch has not yet delivered the deletion.
+      else if (cache.get(key)) throw new NoResponseError(`${key} is deleted, but still cached`, false);
     }
   }
 }
--- a/src/admission/decision.ts
+++ b/src/admission/decision.ts
@@ -1,30 +1,30 @@
-/** @file Decides whether a job is admitted, from an epoch and the job alone. */
+/** @file Decides whether a job is admitted. A pure function of the epoch, the flow's admitted work, and the job. */
 import type { Job } from '../protocol/model';
 import { findGrant, type Epoch } from './epoch';
 import { flowOf, jobCost } from './flow';
 
-/** What becomes of a submission. */
+/** Whether a submission is admitted or deferred. */
 export type AdmissionDecision =
-  /** No overload: nothing is counted. */
+  /** No overload: the job is admitted, and its cost is not counted. */
   | { readonly kind: 'open' }
-  /** Admitted in an overload: its cost is to be counted for its flow. */
+  /** Admitted during an overload: its cost counts against the grant of its flow. */
   | { readonly kind: 'admit'; readonly cost: number }
-  /** To be submitted again after this time. */
+  /** Deferred: the user should submit the job again after this time. */
   | { readonly kind: 'defer'; readonly retryAfterS: number };
 
 const MIN_RETRY_S = 1;
 /** The longest `Retry-After` that users follow. */
 const MAX_RETRY_S = 30;
-/** Retries of one flow are spread over so many seconds, so that they don't come at once. */
+/** The retries of a flow's jobs are spread over this time, so that they don't arrive all at once. */
 const RETRY_SPREAD_S = 6;
 
 /**
- * The decision for a job that is not accepted yet. It depends on nothing but the epoch, what the flow was admitted and the
- * job, so every controller with the same records decides alike. A flow is admitted until its grant is used up, its last
- * job included, however large: the overdraft is a debt that its next grants repay first (deficit round robin, Shreedhar
- * and Varghese, 1996). So no job is too large to be admitted, and the decision doesn't depend on the order of sizes.
+ * Decides on a job that is not accepted yet. The result depends only on the epoch, on the work admitted for the job's
+ * flow and on the job, so every controller with the same records decides alike. Jobs of a flow are admitted while its
+ * grant is not exhausted. The last one may exceed the grant by any amount; the overdraft is a debt that later grants
+ * repay first (deficit round robin, Shreedhar and Varghese, 1996). So a job of any size can be admitted.
  *
- * A job that depends on accepted jobs is always admitted: it finishes what was begun. Its cost is counted.
+ * A job that depends on accepted jobs is always admitted, so that work in progress is completed. Its cost is counted.
  */
 export function decideAdmission(epoch: Epoch, admitted: number, job: Job): AdmissionDecision {
   if (!epoch.isOverloaded) return { kind: 'open' };
@@ -35,14 +35,14 @@
   return { kind: 'defer', retryAfterS: retryAfterS(admitted - granted, rate, job.id) };
 }
 
-/** When the flow's debt should be repaid, and a little later by the job's id. */
+/** The time after which the flow's debt should be repaid, plus a spread that depends on the job's id. */
 function retryAfterS(debt: number, rate: number, id: string): number {
   const repaidS = rate > 0 ? debt / rate : MAX_RETRY_S;
   const spread = hash(id) % RETRY_SPREAD_S;
   return Math.min(MAX_RETRY_S, Math.max(MIN_RETRY_S, Math.ceil(repaidS)) + spread);
 }
 
-/** FNV-1a: a hash that every controller computes alike. */
+/** FNV-1a, so that every controller computes the same hash. */
 function hash(text: string): number {
   let value = 0x811c9dc5;
   for (let index = 0; index < text.length; index += 1) {
--- a/src/admission/epoch-records.ts
+++ b/src/admission/epoch-records.ts
@@ -7,22 +7,22 @@
 
 const HASH_CHARS = 24;
 
-/** Classes and teams may have any characters, and keys may not. */
+/** Hashes a name for use in a key, since classes and teams may contain characters that keys may not. */
 function hashed(text: string): string {
   return createHash('sha256').update(text).digest('hex').slice(0, HASH_CHARS);
 }
 
-/** Key of the record of what a class's teams are granted. */
+/** Key of the record with the grants of a class's teams. */
 export function classRecordKey(jobClass: string): string {
   return KEY.admissionClass(hashed(jobClass));
 }
 
-/** Key of the record of what a flow was admitted. */
+/** Key of the record with the work admitted for a flow. */
 export function flowRecordKey(flow: Flow): string {
   return KEY.admissionFlow(hashed(flowKey(flow)));
 }
 
-/** The records of an epoch: one that names its classes, and one for each of them, so that none grows large. */
+/** The records of an epoch: a header that lists its classes, and a record for each class, so that none grows large. */
 export function epochChanges(epoch: Epoch, epochMs: number): Change[] {
   const byClass = new Map<string, FlowGrant[]>();
   for (const grant of epoch.grants) {
@@ -48,26 +48,26 @@
   return [{ put: KEY.admission, value: header }, ...classes];
 }
 
-/** Amounts are stored to a thousandth, which keeps records small. */
+/** Rounds an amount to a thousandth, which keeps records small. */
 function round(amount: number): number {
   return Math.round(amount * 1000) / 1000;
 }
 
-/** The records from which an epoch, or a part of it, is read. */
+/** A source of records, such as the watch cache. */
 export interface RecordSource {
   get(key: string): { readonly value: unknown } | undefined;
 }
 
-/** An epoch as it was read. */
+/** The result of reading an epoch from the records. */
 export type EpochReadResult =
   | { readonly kind: 'none' }
   | { readonly kind: 'epoch'; readonly epoch: Epoch; readonly epochMs: number }
-  /** The records of classes don't belong to the epoch: this copy is not up to date. */
+  /** The record of a class belongs to another epoch than the header: the source is not up to date. */
   | { readonly kind: 'stale'; readonly keys: readonly string[] }
-  /** A record that this version can't read. */
+  /** The header or a class record is malformed for this version. */
   | { readonly kind: 'malformed' };
 
-/** Reads the epoch, with the grants of the classes that are wanted. */
+/** Reads the epoch, with the grants of the included classes only. */
 export function readEpoch(source: RecordSource, isIncluded: (jobClass: string) => boolean): EpochReadResult {
   const stored = source.get(KEY.admission);
   if (!stored) return { kind: 'none' };
@@ -86,7 +86,7 @@
   return { kind: 'epoch', epoch: { number, overload, isOverloaded, weights, newFlowGrant, grants }, epochMs };
 }
 
-/** What a flow was admitted in an overload, by its record; records of another overload count as nothing. */
+/** The work admitted for a flow in this overload, from its record; 0 if the record belongs to another overload. */
 export function readAdmitted(value: unknown, overload: number): number {
   const record = read.admissionFlow(value);
   return record?.overload === overload ? record.admitted : 0;
--- a/src/admission/epoch-writer.ts
+++ b/src/admission/epoch-writer.ts
@@ -1,4 +1,4 @@
-/** @file The leader's part of admission: it writes epochs and deletes the records that overloads leave behind. */
+/** @file The leader's part of admission: writes epochs and deletes the records of earlier overloads. */
 import type { Clock } from '../base/clock';
 import type { Log } from '../base/log';
 import { eventOfChange } from '../bookkeeping/change-events';
@@ -14,44 +14,44 @@
 
 const CHECK_INTERVAL_MS = 1_000;
 const MS_PER_S = 1_000;
-/** An epoch that comes late grants for no longer than so many intervals. */
+/** An epoch that is written late grants work for at most this many epoch intervals. */
 const MAX_ELAPSED_EPOCHS = 3;
 const MAX_DELETIONS_AT_ONCE = 8;
 
-/** What the epoch writer works on. */
+/** The services and limits that the epoch writer uses. */
 export interface EpochWriterContext extends LoadContext {
   readonly cache: WatchCache;
   readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly log: Log;
   readonly formatGate: FormatGate;
-  /** Changes that a transaction may have. */
+  /** Maximum number of changes in a transaction. */
   readonly maxChanges: number;
-  /** The condition that proves that this controller is the leader; undefined when it isn't. */
+  /** The condition by which a transaction succeeds only while this controller leads; undefined when it doesn't. */
   leaderCondition(): Condition | undefined;
-  /** Brings a change that the key-value store has acknowledged into this controller's copy, and notifies its peers. */
+  /** Applies a change that the key-value store has acknowledged to the watch cache, and notifies the peers. */
   publish(event: ChangeEvent): void;
 }
 
 /**
- * Writes the next admission epoch while this controller is the leader. All that it uses is in the key-value store, except
- * for how long the fleet has not grown, which every controller observes: a new leader neither forgets an overload nor
- * begins one anew. Each write has the leader record and the epoch before as conditions, so one that is carried out late
- * changes nothing.
+ * Writes the next admission epoch while this controller is the leader. Its state is in the key-value store, except for
+ * the time since the fleet last grew, which every controller tracks. So an overload continues unchanged under a new
+ * leader. Each transaction has the leader record and the previous epoch as conditions, so a delayed one changes nothing
+ * after another leader was elected or another epoch was written.
  */
 export class EpochWriter {
   readonly #growth = new FleetGrowthTracker();
   #writtenAt: number | undefined;
-  /** The weights in force that were last reported to differ from those of this controller. */
+  /** The weights of the current epoch for which a mismatch with this controller's weights was last logged. */
   #reportedWeights: string | undefined;
 
   constructor(
     private readonly context: EpochWriterContext,
-    /** Undefined: admission is off here. */
+    /** Undefined when admission is off at this controller. */
     private readonly options: AdmissionOptions | undefined,
   ) {}
 
-  /** One step; to be run in a loop on every controller. */
+  /** Waits for the check interval, then writes or deletes records if needed. Runs in a loop on every controller. */
   async step(signal: AbortSignal): Promise<void> {
     const { cache, clock, formatGate } = this.context;
     await clock.sleep(CHECK_INTERVAL_MS, signal);
@@ -83,7 +83,7 @@
     this.#logEpoch(current, next, drainTimeS(load));
   }
 
-  /** The epoch that the next one follows; undefined when the records don't tell at present. */
+  /** The epoch in the watch cache, or the initial epoch; undefined while its records are stale or malformed. */
   #readCurrent(options: AdmissionOptions): Epoch | undefined {
     const found = readEpoch(this.context.cache, () => true);
     switch (found.kind) {
@@ -96,13 +96,13 @@
       case 'malformed':
         this.context.log.error(
           { key: KEY.admission },
-          'the admission epoch cannot be read: it is left as it is',
+          'malformed admission epoch: no further epoch is written',
         );
         return undefined;
     }
   }
 
-  /** For how long the next epoch grants: the time since this controller wrote one, or the usual interval. */
+  /** The time for which the next epoch grants work: since this controller's last epoch, else one epoch interval. */
   #elapsedMs(now: number, epochMs: number): number {
     const writtenAt = this.#writtenAt ?? now - epochMs;
     return Math.min(now - writtenAt, epochMs * MAX_ELAPSED_EPOCHS);
@@ -114,7 +114,7 @@
     const conditions = [leaderCondition, this.#condition(KEY.admission)];
     const result = await store.compareAndSwap(conditions, changes, 'urgent');
     if (!result.ok) return false;
-    // The classes before the epoch that names them: a peer that has the one has the others.
+    // Class records are published before the header, so that a peer that received the header also has its classes.
     for (const change of [...changes].reverse()) publish(eventOfChange(change, result.revision));
     return true;
   }
@@ -122,22 +122,25 @@
   #logEpoch(current: Epoch, next: Epoch, drainS: number): void {
     const { log } = this.context;
     const logFields = { epoch: next.number, overload: next.overload, drainS: Math.round(drainS) };
-    if (!current.isOverloaded) log.warn(logFields, 'admission: overload begins');
-    else if (!next.isOverloaded) log.warn(logFields, 'admission: overload ends');
-    else log.info({ ...logFields, flows: next.grants.length }, 'admission: epoch');
+    if (!current.isOverloaded) log.warn(logFields, 'admission: overload began');
+    else if (!next.isOverloaded) log.warn(logFields, 'admission: overload ended');
+    else log.info({ ...logFields, flows: next.grants.length }, 'admission: epoch written');
   }
 
-  /** Controllers with differing weights: those of the epoch are in force until the overload is over. */
+  /** Logs when this controller's weights differ from those of the epoch, which apply until the overload ends. */
   #logWeightMismatch(current: Epoch, options: AdmissionOptions): void {
     const inForce = JSON.stringify(current.weights);
     const differ = current.isOverloaded && inForce !== JSON.stringify(options.weights);
     if (differ && this.#reportedWeights !== inForce) {
-      this.context.log.error({ inForce: current.weights }, 'admission: weights differ from those in force');
+      this.context.log.error(
+        { inForce: current.weights },
+        'admission: weights differ from those of the current overload',
+      );
     }
     this.#reportedWeights = differ ? inForce : undefined;
   }
 
-  /** Deletes records of overloads that are over. */
+  /** Deletes class records, and flow records of overloads that have ended. */
   async #deleteObsoleteRecords(leaderCondition: Condition, current: Epoch): Promise<void> {
     if (current.isOverloaded) return;
     await this.#deleteRecords(leaderCondition, (value) => {
@@ -146,7 +149,7 @@
     });
   }
 
-  /** Admission is off at the leader: an overload in force ends at once for all controllers. */
+  /** Admission is off at the leader. Deleting the epoch ends an overload for all controllers at once. */
   async #deleteAllRecords(leaderCondition: Condition): Promise<void> {
     if (this.context.cache.get(KEY.admission)) await this.#deleteEpoch(leaderCondition);
     else await this.#deleteRecords(leaderCondition, () => true);
@@ -158,11 +161,11 @@
     const conditions = [leaderCondition, this.#condition(KEY.admission)];
     const result = await store.compareAndSwap(conditions, [deletion], 'urgent');
     if (!result.ok) return;
-    log.warn({}, 'admission: switched off at the leader');
+    log.warn({}, 'admission is off at the leader: epoch deleted');
     publish(eventOfChange(deletion, result.revision));
   }
 
-  /** Deletes class and flow records that are over, as many as one transaction may. */
+  /** Deletes obsolete class and flow records, as many as one transaction may hold. */
   async #deleteRecords(leaderCondition: Condition, isObsolete: (value: unknown) => boolean): Promise<void> {
     const { cache, store, maxChanges } = this.context;
     const obsolete = [PREFIX.admissionClass, PREFIX.admissionFlow]
@@ -184,7 +187,7 @@
   }
 }
 
-/** Where there are more classes than a transaction has changes, the rest count as new flows. */
+/** Omits the classes that exceed the limit on changes. Their flows get the grant of a new flow. */
 function limitClasses(epoch: Epoch, maxClasses: number): Epoch {
   const classes = [...new Set(epoch.grants.map(({ jobClass }) => jobClass))];
   const kept = new Set(classes.slice(0, maxClasses));
--- a/src/admission/epoch.ts
+++ b/src/admission/epoch.ts
@@ -1,30 +1,30 @@
-/** @file Works out the next admission epoch: whether there is an overload, and what each flow may take. */
+/** @file Computes the next admission epoch: whether there is an overload, and the grant of each flow. */
 import { fairSharesByFlow, type FlowDemand, type Weights } from './fair-shares';
 import { flowKey, type Flow } from './flow';
 import { drainTimeS, isOverloaded, type Load } from './overload';
 import type { AdmissionOptions } from './options';
 
-/** What a flow may take during an overload. All amounts are CPU seconds since the overload began. */
+/** A flow's grant during an overload. Amounts are CPU seconds, counted from the beginning of the overload. */
 export interface FlowGrant extends Flow {
-  /** Jobs of the flow are admitted while less than this was admitted; negative where the flow begins in debt. */
+  /** Jobs of the flow are admitted while the admitted work is below this; negative if the flow begins in debt. */
   readonly granted: number;
-  /** How fast the grant grows, per second. */
+  /** Growth of the grant, in CPU seconds per second. */
   readonly rate: number;
 }
 
-/** An admission epoch. All controllers decide by the same one. */
+/** An admission epoch: the shared state by which all controllers admit or defer jobs. */
 export interface Epoch {
   readonly number: number;
-  /** Counts overloads; amounts of another overload mean nothing. */
+  /** The number of the overload. Amounts of different overloads are not comparable. */
   readonly overload: number;
   readonly isOverloaded: boolean;
   readonly weights: Weights;
-  /** What a flow without a grant of its own may take. */
+  /** The grant of a flow that is not in `grants`. */
   readonly newFlowGrant: number;
   readonly grants: readonly FlowGrant[];
 }
 
-/** What is known of a flow when an epoch is worked out. */
+/** The load of one flow, from which an epoch is computed. */
 export interface FlowLoad extends Flow {
   /** CPU seconds of its accepted, unfinished work. */
   readonly backlog: number;
@@ -32,23 +32,24 @@
   readonly admitted: number;
 }
 
-/** What an epoch is worked out from. */
+/** The input from which the next epoch is computed. */
 export interface EpochInput {
   readonly load: Load;
   readonly stalledForS: number;
   readonly flows: readonly FlowLoad[];
-  /** Seconds since the previous epoch. */
+  /** Time for which the epoch grants work, in seconds: usually that since the previous epoch. */
   readonly elapsedS: number;
 }
 
-/** A flow without demand saves up the grant of so many epochs, and no more. */
+/** A flow accumulates unused credit of at most this many epochs. */
 const MAX_SAVED_EPOCHS = 4;
-/** The rate of grants lies between these multiples of the capacity. */
+/** The admission rate lies between these multiples of the capacity. */
 const MIN_RATE_FACTOR = 0.25;
 const MAX_RATE_FACTOR = 4;
 /**
- * How steeply the rate answers to the backlog. Flows in debt use none of what they are granted: when most of them are,
- * the others, and the debts, need several times the capacity before the fleet runs idle and the overload ends too soon.
+ * Exponent by which the admission rate depends on the backlog. Grants of flows in debt only repay debt and admit no
+ * work. When most flows are in debt, the grants must reach several times the capacity, or the fleet would run idle and
+ * the overload would end too soon.
  */
 const RATE_EXPONENT = 2;
 
@@ -57,7 +58,7 @@
   return { number: 0, overload: 0, isOverloaded: false, weights, newFlowGrant: 0, grants: [] };
 }
 
-/** The epoch that follows; the same object when nothing changes, so that nothing has to be written. */
+/** The next epoch; the same object if there is neither an overload nor the end of one, so nothing has to be written. */
 export function nextEpoch(current: Epoch, input: EpochInput, options: AdmissionOptions): Epoch {
   const { load, stalledForS } = input;
   const isAnyGrantExhausted = hasExhaustedGrant(current, input.flows);
@@ -73,8 +74,8 @@
 }
 
 /**
- * The rate at which work is admitted. Estimates are often wrong by half, so the backlog itself corrects the rate: it is
- * held between the thresholds of overload.
+ * The rate at which work is admitted, in CPU seconds per second. Users' estimates are often wrong by half, so
+ * the backlog corrects the rate: its drain time is kept near the midpoint between the two thresholds of overload.
  */
 export function admissionRate({ load }: EpochInput, { enterS, leaveS }: AdmissionOptions): number {
   const targetS = (enterS + leaveS) / 2;
@@ -83,7 +84,7 @@
   return capacity * Math.min(MAX_RATE_FACTOR, Math.max(MIN_RATE_FACTOR, factor));
 }
 
-/** Each flow begins with what its share earns in a few epochs, less what it has taken beyond its share already. */
+/** Each flow begins with the grant of `MAX_SAVED_EPOCHS` epochs, less the excess of its backlog over its fair share. */
 function beginOverload(current: Epoch, input: EpochInput, options: AdmissionOptions): Epoch {
   const { weights } = options;
   const rates = flowRates(input, options, weights);
@@ -107,7 +108,7 @@
 }
 
 function continueOverload(current: Epoch, input: EpochInput, options: AdmissionOptions): Epoch {
-  // Weights change with the next overload only, so that no flow's debt is worked out by two measures.
+  // The weights stay the same during an overload: otherwise a flow's debt would mix amounts by different weights.
   const { weights } = current;
   const rates = flowRates(input, options, weights);
   const maxCredit = (key: string): number => (rates.get(key) ?? 0) * options.epochS * MAX_SAVED_EPOCHS;
@@ -136,41 +137,41 @@
   });
 }
 
-/** The grant of a flow in an epoch; undefined for a flow that is new to it. */
+/** The grant of a flow in an epoch; undefined if the epoch does not contain the flow. */
 export function findGrant(epoch: Epoch, flow: Flow): FlowGrant | undefined {
   const key = flowKey(flow);
   return epoch.grants.find((grant) => flowKey(grant) === key);
 }
 
-/** Looks up what many flows may take in an epoch. */
+/** Indexes the granted amounts of an epoch, for the look-up of many flows. */
 function grantLookup(epoch: Epoch): (flow: Flow) => number {
   const granted = new Map(epoch.grants.map((grant) => [flowKey(grant), grant.granted]));
   return (flow) => granted.get(flowKey(flow)) ?? epoch.newFlowGrant;
 }
 
-/** Whether a flow has used up what it was granted, so that more of its jobs may be held back. */
+/** Whether any flow has exhausted its grant, so that more of its jobs may be deferred. */
 function hasExhaustedGrant(epoch: Epoch, flows: readonly FlowLoad[]): boolean {
   const grantedTo = grantLookup(epoch);
   return epoch.isOverloaded && flows.some((flow) => flow.admitted >= grantedTo(flow));
 }
 
-/** What each flow would be granted a second if all of them had unlimited demand. */
+/** The amount granted to each flow per second if all flows had unlimited demand. By `flowKey`. */
 function flowRates(input: EpochInput, options: AdmissionOptions, weights: Weights): Map<string, number> {
   const demands = input.flows.map(({ jobClass, team }) => ({ jobClass, team, demand: Infinity }));
   return fairSharesByFlow(admissionRate(input, options), demands, weights);
 }
 
-/** What the next epoch of an overload is made of. */
+/** The fields from which the next epoch of an overload is built. */
 interface OverloadEpochFields {
   readonly overload: number;
   readonly weights: Weights;
   readonly grants: readonly FlowGrant[];
-  /** What each flow is granted a second, by `flowKey`. */
+  /** The result of `flowRates`. */
   readonly rates: ReadonlyMap<string, number>;
   readonly epochS: number;
 }
 
-/** The epoch that follows with these terms. A new flow may take what the flow with the lowest rate may save up. */
+/** Builds the next epoch of an overload. A new flow is granted the maximum credit of the flow with the lowest rate. */
 function overloadEpoch(current: Epoch, fields: OverloadEpochFields): Epoch {
   const { overload, weights, grants, rates, epochS } = fields;
   const smallestRate = rates.size === 0 ? 1 : Math.min(...rates.values());
--- a/src/admission/fair-shares.ts
+++ b/src/admission/fair-shares.ts
@@ -1,24 +1,24 @@
 /** @file Divides capacity among classes and teams by their weights. */
 import { flowKey, type Flow } from './flow';
 
-/** Weights of classes and of teams; what isn't named has the default weight. */
+/** Weights of classes and teams, by name. */
 export interface Weights {
   readonly classes: Readonly<Record<string, number>>;
   readonly teams: Readonly<Record<string, number>>;
 }
 
-/** Weight of a class or team that has none of its own. */
+/** The weight of a class or team that is not listed in `Weights`. */
 export const DEFAULT_WEIGHT = 1;
 
-/** A part that wants some of an amount. */
+/** One of the demands among which an amount is divided. */
 export interface WeightedDemand<Key> {
   readonly key: Key;
   readonly weight: number;
-  /** The most that it can use; `Infinity` when it can use all. */
+  /** The most that it can use; `Infinity` if unlimited. */
   readonly demand: number;
 }
 
-/** What a flow wants of the capacity that is to be divided. */
+/** A flow's demand for a part of the capacity that is divided. */
 export interface FlowDemand extends Flow {
   readonly demand: number;
 }
@@ -26,8 +26,8 @@
 const EPSILON = 1e-9;
 
 /**
- * Weighted max-min fairness: an amount is divided in proportion to the weights, and what a claim can't use goes to the
- * others (Demers, Keshav and Shenker, "Analysis and Simulation of a Fair Queueing Algorithm", 1989).
+ * Weighted max-min fairness: divides an amount in proportion to the weights, and divides what exceeds a demand among
+ * the others (Demers, Keshav and Shenker, "Analysis and Simulation of a Fair Queueing Algorithm", 1989).
  */
 export function maxMinFairShares<Key>(
   amount: number,
@@ -53,7 +53,7 @@
   return shares;
 }
 
-/** Divides an amount among classes first, then within each class among its teams. The result is by `flowKey`. */
+/** Divides an amount first among classes, then the share of each class among its teams. Returns shares by `flowKey`. */
 export function fairSharesByFlow(
   amount: number,
   demands: readonly FlowDemand[],
@@ -83,7 +83,7 @@
   return shares;
 }
 
-/** What a deployment's settings say of a team. */
+/** A team's guaranteed capacity, from the deployment's settings. */
 export interface TeamGuarantee {
   readonly name: string;
   /** Guaranteed CPUs; 0 for none. */
@@ -91,8 +91,8 @@
 }
 
 /**
- * The weights in force: the operator's where there are any; otherwise classes are equal and teams are weighted by their
- * guarantees. A team without a guarantee counts like the smallest one with a guarantee, so that it isn't starved.
+ * The operator's weights, completed by defaults: classes have equal weights, and a team's weight is its guaranteed
+ * CPUs. A team without a guarantee gets the weight of the team with the smallest guarantee, so that it isn't starved.
  */
 export function effectiveWeights(configured: Weights, teams: readonly TeamGuarantee[]): Weights {
   const guarantees = teams.map(({ cpus }) => cpus).filter((cpus) => cpus > 0);
--- a/src/admission/flow.ts
+++ b/src/admission/flow.ts
@@ -1,4 +1,4 @@
-/** @file Flows, the units among which admission shares capacity, and the cost of a job. */
+/** @file Flows, the units among which admission divides capacity, and the cost of a job. */
 import type { Job } from '../protocol/model';
 
 /** All jobs of one class and one team. */
@@ -7,7 +7,7 @@
   readonly team: string;
 }
 
-/** A string that is the same for equal flows and differs for all others. */
+/** A map key that is unique for each flow. */
 export function flowKey({ jobClass, team }: Flow): string {
   return JSON.stringify([jobClass, team]);
 }
@@ -17,7 +17,7 @@
   return { jobClass, team };
 }
 
-/** What a job takes of the fleet, in CPU seconds, by its owner's estimate. */
+/** The CPU seconds that a job needs, by its user's estimate. */
 export function jobCost({ cpus, tasks, estimateS }: Job): number {
   return cpus * tasks * estimateS;
 }
--- a/src/admission/load-snapshot.ts
+++ b/src/admission/load-snapshot.ts
@@ -1,4 +1,4 @@
-/** @file Reads from a controller's copy of the records how much work was accepted and how large the fleet is. */
+/** @file Computes the accepted work and the fleet's capacity from the records in a controller's watch cache. */
 import { PREFIX, read } from '../bookkeeping/records';
 import type { WatchCache } from '../bookkeeping/watch-cache';
 import type { Job, MachineType } from '../protocol/model';
@@ -7,39 +7,39 @@
 import { flowKey, flowOf } from './flow';
 import type { Load } from './overload';
 
-/** How many tasks of a job run and are done. */
+/** Numbers of a job's running and done tasks. */
 export interface TaskProgress {
   readonly running: number;
   readonly done: number;
 }
 
-/** Of a running task this part is assumed to remain. */
+/** The part of a running task's work that is assumed to remain. */
 const RUNNING_TASK_REMAINDER = 0.5;
 
-/** What the facts are read from. */
+/** The sources of a load snapshot. */
 export interface LoadContext {
   readonly cache: WatchCache;
   types(): readonly MachineType[];
-  /** How many tasks of a live job run and are done, as far as is known. */
+  /** The latest known progress of a live job; undefined if none is known. */
   progressOf(id: string): TaskProgress | undefined;
-  /** Whether the job waits for its dependencies rather than for capacity. */
+  /** Whether the job waits for its dependencies, not for capacity. */
   waitsForDependencies(id: string): boolean;
-  /** The upper limit of a team in CPUs; 0 for none. */
+  /** Maximum number of CPUs that a team may use; 0 for no limit. */
   teamLimitCpus(team: string): number;
 }
 
-/** Load and flows at one moment. */
+/** The load of the fleet and of each flow at one moment. */
 export interface LoadSnapshot {
   readonly load: Load;
   readonly flows: readonly FlowLoad[];
 }
 
-/** How many machines the records name. */
+/** The number of machines that have a record. */
 export function countMachines(cache: WatchCache): number {
   return [...cache.under(PREFIX.machine)].length;
 }
 
-/** Sums up accepted work by flow, and the fleet. `horizonS` bounds what a team's own limit lets it wait for. */
+/** Sums up the accepted work by flow, and the capacity. A limited team's work counts for at most `horizonS`. */
 export function readLoadSnapshot(context: LoadContext, epoch: Epoch, horizonS: number): LoadSnapshot {
   const flows = new Map<string, { jobClass: string; team: string; backlog: number }>();
   const backlogOfTeam = new Map<string, number>();
@@ -72,7 +72,7 @@
   return Math.max(0, tasks - done - running * RUNNING_TASK_REMAINDER) * cpus * estimateS;
 }
 
-/** Work that a team's limit keeps from running is no overload of the fleet: no other team waits because of it. */
+/** The backlog without work that only a team's limit delays: no other team waits for it, so it is no overload. */
 function servableBacklog(
   backlogOfTeam: ReadonlyMap<string, number>,
   context: LoadContext,
--- a/src/admission/options.ts
+++ b/src/admission/options.ts
@@ -6,18 +6,18 @@
 
 const weight = z.number().positive().max(1e6);
 
-/** The table as it may stand in the options file; a file without it leaves admission off. */
+/** The schema of the table. Without the table, admission is off. */
 export const admissionSchema = z.strictObject({
   enabled: z.boolean(),
-  /** Overload begins when the accepted work would keep the present fleet busy for longer than this. */
+  /** Overload begins when the accepted work would keep the current fleet busy for longer than this. */
   enter_s: z.number().positive().default(180),
-  /** Overload ends when it would keep the fleet busy for less than this. */
+  /** Overload ends when the accepted work would keep the current fleet busy for less than this. */
   leave_s: z.number().positive().default(60),
-  /** A fleet that hasn't grown for this long counts as being as large as it can be. */
+  /** A fleet that hasn't grown for this long is assumed to have its maximum size. */
   stalled_s: z.number().positive().default(20),
   /** Time between two epochs of an overload. */
   epoch_s: z.number().min(1).max(15).default(5),
-  /** Writes spans of submissions to the log. */
+  /** Whether spans of submissions are written to the log. */
   trace: z.boolean().default(false),
   class_weights: z.record(z.string(), weight).default({}),
   team_weights: z.record(z.string(), weight).default({}),
@@ -26,13 +26,13 @@
 /** The checked table. */
 export type AdmissionTable = z.infer<typeof admissionSchema>;
 
-/** The settings as admission uses them. */
+/** The options of admission, derived from the table. */
 export interface AdmissionOptions {
   readonly enterS: number;
   readonly leaveS: number;
   readonly stalledS: number;
   readonly epochS: number;
-  /** Spans of submissions are written to the log. */
+  /** Whether spans of submissions are written to the log. */
   readonly isTraced: boolean;
   readonly weights: Weights;
 }
--- a/src/admission/overload.ts
+++ b/src/admission/overload.ts
@@ -1,6 +1,6 @@
-/** @file Detects that more work has been accepted than the fleet can do in time. */
+/** @file Detects an overload: more work has been accepted than the fleet can do in time. */
 
-/** When overload begins and ends. */
+/** The thresholds at which an overload begins and ends, in seconds. */
 export interface OverloadThresholds {
   readonly enterS: number;
   readonly leaveS: number;
@@ -9,57 +9,57 @@
 
 /** Accepted work and the capacity for it, at one moment. */
 export interface Load {
-  /** CPU seconds of accepted, unfinished work that only a lack of capacity keeps from running. */
+  /** CPU seconds of accepted, unfinished work that could run if there were enough capacity. */
   readonly backlog: number;
   /** CPUs of all machines that are up or booting. */
   readonly capacity: number;
 }
 
-/** A fleet that grew by less than this share counts as not having grown. */
+/** Growth by a smaller share does not count as growth. */
 const MIN_GROWTH_SHARE = 0.05;
-/** Capacity that is assumed where there is none, so that a drain time exists. */
+/** Capacity that is assumed for an empty fleet, to avoid a division by zero. */
 const MIN_CAPACITY_CPUS = 1;
 
-/** How long the backlog would keep the fleet busy, in seconds. */
+/** Time in which the fleet would complete the backlog, in seconds. */
 export function drainTimeS({ backlog, capacity }: Load): number {
   return backlog / Math.max(capacity, MIN_CAPACITY_CPUS);
 }
 
 /**
- * Whether the fleet still grows, as seen by one observer. A backlog alone is no overload: machines may just be
- * booting. How many more the cloud would rent is not published, so a fleet that has stopped growing although work waits is
- * assumed to be as large as it can be.
+ * Tracks on one controller whether the fleet is still growing. A backlog alone is no overload, since machines may just
+ * be booting. The cloud does not publish how many more machines it would rent. So a fleet that has stopped growing
+ * although there is a backlog is assumed to have its maximum size.
  */
 export class FleetGrowthTracker {
   #baseline: { at: number; capacity: number } | undefined;
 
-  /** Takes in the capacity seen at a steady time in milliseconds. */
+  /** Records the size of the fleet at a steady time in milliseconds. */
   observe(capacity: number, now: number): void {
     const grew = !this.#baseline || capacity > this.#baseline.capacity * (1 + MIN_GROWTH_SHARE);
     if (grew) this.#baseline = { at: now, capacity };
   }
 
-  /** For how many seconds the fleet has not grown; 0 before anything was observed. */
+  /** Seconds since the fleet last grew; 0 before the first observation. */
   stalledForS(now: number): number {
     return this.#baseline ? (now - this.#baseline.at) / 1000 : 0;
   }
 }
 
-/** What an observer knows when it judges whether there is an overload. */
+/** The input of `isOverloaded`. */
 export interface OverloadState {
   readonly wasOverloaded: boolean;
-  /** A flow has used up what it was granted: more jobs may be waiting to be admitted. */
+  /** Whether a flow has exhausted its grant, so that more of its jobs may be deferred. */
   readonly isAnyGrantExhausted: boolean;
   readonly load: Load;
   readonly stalledForS: number;
 }
 
-/** While jobs may be held back, an overload goes on down to this part of the backlog that otherwise ends it. */
+/** While jobs may be deferred, the backlog must fall below this part of the usual threshold to end an overload. */
 const EXHAUSTED_GRANT_LEAVE_FACTOR = 0.25;
 
 /**
- * Whether there is an overload. It ends at a smaller backlog than it begins at, and not while flows are held back: then
- * grants grow faster than the fleet works, and the jobs that are held back are admitted without a burst.
+ * Whether there is an overload. The threshold for its end is lower than that for its beginning, and lower still while a
+ * flow's grant is exhausted: grants then grow faster than the fleet works, and deferred jobs cause no burst.
  */
 export function isOverloaded(state: OverloadState, thresholds: OverloadThresholds): boolean {
   const { wasOverloaded, isAnyGrantExhausted, load, stalledForS } = state;
--- a/src/admission/tracing.ts
+++ b/src/admission/tracing.ts
@@ -1,4 +1,4 @@
-/** @file Spans of submissions, by the OpenTelemetry API: free while no tracer provider is registered. */
+/** @file Traces submissions with the OpenTelemetry API, which does nothing while no tracer provider is registered. */
 import { trace } from '@opentelemetry/api';
 import type { Job } from '../protocol/model';
 import type { AdmissionDecision } from './decision';
@@ -6,7 +6,7 @@
 
 const TRACER = 'ironstream.admission';
 
-/** Records a decision as an event of the span that is active, if there is one. */
+/** Records a decision as an event of the active span, if there is one. */
 export function traceDecision(job: Job, epoch: Epoch, decision: AdmissionDecision): void {
   trace.getActiveSpan()?.addEvent('decided', {
     'job.id': job.id,
