--- a/src/suspicion/handover-trace.ts
+++ b/src/suspicion/handover-trace.ts
@@ -1,11 +1,11 @@
-/** @file The named steps of a handover, each logged with its time and traced as events of a span. */
+/** @file Logs the named steps of a handover with their times, and traces them as events of a span. */
 import { trace, type Span } from '@opentelemetry/api';
 import type { Clock } from '../base/clock';
 import type { Log } from '../base/log';
 
 const TRACER = 'ironstream.suspicion';
 
-/** The steps of acquiring a shard from another owner, in their order. */
+/** The steps by which a successor acquires a shard, in their order. */
 export const FAILOVER_STEPS = [
   'chosen',
   'acquired',
@@ -13,15 +13,15 @@
   'workers confirmed',
   'orphaned jobs placed',
 ] as const;
-/** The steps of handing a shard over by choice, in their order. */
+/** The steps by which an owner hands a shard over in a planned handover, in their order. */
 export const PLANNED_HANDOVER_STEPS = ['stopped', 'drained', 'successor named'] as const;
-/** A step of either side of a handover. */
+/** A step of the previous owner or of the successor. */
 export type HandoverStep = (typeof FAILOVER_STEPS)[number] | (typeof PLANNED_HANDOVER_STEPS)[number];
 
-/** The last step of either side. */
+/** The last step of the successor and that of the previous owner. */
 const LAST_STEPS: readonly HandoverStep[] = ['orphaned jobs placed', 'successor named'];
 
-/** Follows one side of one handover. A step that is reached again, because it was repeated, is not logged again. */
+/** Traces one handover on one of its two controllers. A step that is repeated is logged only once. */
 export class HandoverTrace {
   readonly #reached = new Set<HandoverStep>();
   readonly #startedAt: number;
@@ -35,12 +35,12 @@
     this.#span = trace.getTracer(TRACER).startSpan('handover', { attributes: { shard } });
   }
 
-  /** Whether every step has been reached. */
+  /** Whether the last step has been recorded. */
   get isComplete(): boolean {
     return LAST_STEPS.some((step) => this.#reached.has(step));
   }
 
-  /** A step was reached; `facts` go into its log line. */
+  /** Records and logs that a step is done; `fields` are added to its log line. */
   recordStep(step: HandoverStep, fields: Readonly<Record<string, number | string>> = {}): void {
     if (this.#reached.has(step) || this.isComplete) return;
     this.#reached.add(step);
@@ -50,7 +50,7 @@
     if (this.isComplete) this.#span.end();
   }
 
-  /** The handover was broken off: another controller was chosen, or the shard was lost again. */
+  /** Ends the trace of an aborted handover: another controller was chosen, or the shard was lost again. */
   abandon(): void {
     if (!this.isComplete) this.#span.addEvent('abandoned').end();
   }
--- a/src/suspicion/heartbeat-intervals.ts
+++ b/src/suspicion/heartbeat-intervals.ts
@@ -4,28 +4,28 @@
 
 const RELATIVE_ACCURACY = 0.02;
 const MAX_BINS = 256;
-/** Intervals in a generation: with one heartbeat a second, about four minutes. */
+/** About four minutes of heartbeats, at one a second. */
 const INTERVALS_PER_GENERATION = 256;
-/** Fewer intervals than this say nothing about their distribution. */
+/** Minimum number of intervals from which their distribution is estimated. */
 const MIN_INTERVALS = 8;
-/** Longer intervals count as this long: an outage says nothing about how regular heartbeats are. */
+/** Longer intervals are truncated: an outage says nothing about the regularity of heartbeats. */
 const MAX_INTERVAL_MS = 5_000;
 const MEDIAN_QUANTILE = 0.5;
 const TAIL_QUANTILE = 0.95;
-/** How many standard deviations the tail's quantile lies above the median of a normal distribution. */
+/** Distance from the median to `TAIL_QUANTILE` of a normal distribution, in standard deviations. */
 const TAIL_DEVIATIONS = 1.645;
 
 /**
- * Two generations of intervals: the one that is being filled and the one before, so that what happened long ago is
- * forgotten. A sketch rather than a list of samples, since its size doesn't depend on how many intervals it holds and
- * its quantiles are not moved by a single outlier as mean and variance are.
+ * Keeps two generations of intervals, the current and the previous one, so that older intervals are forgotten. Each is
+ * a sketch rather than a list of samples, since a sketch's size doesn't depend on the number of intervals. Its
+ * quantiles, unlike mean and variance, are hardly affected by a single outlier.
  */
 export class HeartbeatIntervals {
   #current = newSketch();
   #previous: LogCollapsingLowestDenseDDSketch | undefined;
   #distribution: IntervalDistribution | undefined;
 
-  /** Takes in an interval in milliseconds. */
+  /** Adds an interval in milliseconds. */
   add(intervalMs: number): void {
     if (this.#current.count >= INTERVALS_PER_GENERATION) {
       this.#previous = this.#current;
@@ -35,7 +35,7 @@
     this.#distribution = undefined;
   }
 
-  /** How the intervals are distributed; undefined while too few are known. */
+  /** The estimated distribution of the intervals; undefined while there are too few. */
   get distribution(): IntervalDistribution | undefined {
     this.#distribution ??= this.#estimate();
     return this.#distribution;
--- a/src/suspicion/majority-suspicion.ts
+++ b/src/suspicion/majority-suspicion.ts
@@ -1,17 +1,16 @@
-/** @file Whether most controllers suspect one of them. A pure function of the views that they sent. */
+/** @file Whether a majority suspects a controller. A pure function of the views in the controllers' heartbeats. */
 import type { PeerView } from '../protocol/peer-view';
 import { isSuspect } from './peer-state';
 
-/** A controller and its session epoch: opinions of an earlier session of it say nothing about this one. */
+/** A controller and its session epoch. Opinions on an earlier session of the controller are ignored. */
 export interface ControllerSession {
   readonly controller: string;
   readonly sessionEpoch: number;
 }
 
 /**
- * Whether more than half of all other controllers suspect one. Those that are down, or of a version without views, don't
- * vote and count all the same: the opinion of a single controller is not that of most. Views of stalled controllers don't
- * count either.
+ * Whether more than half of all other controllers suspect this one. Controllers that are down, stalled, or of a version
+ * without views have no vote, but still count in the total. So the only one that is up is no majority.
  */
 export function isSuspectedByMajority(
   { controller, sessionEpoch }: ControllerSession,
--- a/src/suspicion/move-limiter.ts
+++ b/src/suspicion/move-limiter.ts
@@ -1,23 +1,23 @@
-/** @file Damping: a bound on how many shards suspicion moves in a minute. */
+/** @file Damping: limits the number of shards that suspicion moves per minute. */
 
 const WINDOW_MS = 60_000;
-/** A shard that moved is not handed over again by choice for so long. */
+/** Time after a change of owner during which a shard is not moved away from an owner that holds its lease. */
 const SHARD_COOLDOWN_MS = 15_000;
 
 /**
- * Counts the changes of owner that this controller sees in the records, whoever made them, so that a controller that
- * flaps does not move shards to and fro. What follows from the expiry of a lease is not bounded: a shard without an owner
- * always gets one.
+ * Counts the changes of owner in the shard records, whichever controller made them, so that a flapping controller does
+ * not cause shards to move back and forth. Failovers after the expiry of a lease are not limited: a shard without an
+ * owner is always assigned one.
  */
 export class MoveLimiter {
-  /** Steady times of the moves within the window. */
+  /** Steady times of the changes of owner within the window. */
   #moves: number[] = [];
   readonly #movedAt = new Map<number, number>();
   readonly #owners = new Map<number, string>();
 
   constructor(private readonly movesPerMinute: number) {}
 
-  /** The record of a shard names an owner. */
+  /** Records the owner from a shard's record; counts a move if it differs from the last one. */
   recordOwner(shard: number, owner: string, now: number): void {
     const previousOwner = this.#owners.get(shard);
     this.#owners.set(shard, owner);
@@ -27,13 +27,13 @@
     this.#moves.push(now);
   }
 
-  /** Whether suspicion may take this shard from its owner now. */
+  /** Whether suspicion may move this shard from its owner now. */
   allowsMove(shard: number, now: number): boolean {
     const hasCooledDown = now - (this.#movedAt.get(shard) ?? -Infinity) >= SHARD_COOLDOWN_MS;
     return hasCooledDown && this.allowsAnyMove(now);
   }
 
-  /** Whether suspicion may move any shard now: one whose lease is free needs no time to settle. */
+  /** Whether the limit per minute allows another move. No cooldown applies to a shard whose lease nobody holds. */
   allowsAnyMove(now: number): boolean {
     return this.#moves.filter((at) => now - at < WINDOW_MS).length < this.movesPerMinute;
   }
--- a/src/suspicion/options.ts
+++ b/src/suspicion/options.ts
@@ -4,42 +4,42 @@
 import type { Settings } from '../base/settings';
 import { silenceMsForThreshold } from './phi';
 
-/** Time between two heartbeats of a controller (`PeerHeartbeat`), in milliseconds. */
+/** Interval of a controller's heartbeats to its peers (`PeerHeartbeat`). */
 export const HEARTBEAT_INTERVAL_MS = 1_000;
 const MS_PER_S = 1_000;
-/** A fixed timeout has to outlast one lost heartbeat. */
+/** Minimum of `timeout_s`. It exceeds the heartbeat interval, so that one delayed heartbeat causes no suspicion. */
 const MIN_TIMEOUT_S = 1.5;
 
-/** The table as it may stand in the options file; a file without it leaves suspicion off. */
+/** The schema of the table. Without the table, suspicion is off. */
 export const suspicionSchema = z.strictObject({
   enabled: z.boolean(),
-  /** `phi` adapts to each peer's heartbeats; `fixed` goes by `timeout_s` alone. */
+  /** `phi` adapts to the intervals of each peer's heartbeats; `fixed` uses `timeout_s` only. */
   detector: z.enum(['phi', 'fixed']).default('phi'),
-  /** A peer is suspected when the chance that its heartbeat is merely late is below 10 to the power of minus this. */
+  /** A peer is suspected when the probability that its heartbeat is merely late falls below 10^-phi_threshold. */
   phi_threshold: z.number().min(1).max(16).default(8),
-  /** The least standard deviation that heartbeat intervals are taken to have. */
+  /** Lower bound on the estimated standard deviation of heartbeat intervals. */
   min_deviation_s: z.number().positive().max(5).default(0.2),
-  /** Silence after which a peer is suspected while too few of its heartbeats are known, or with `fixed`. */
+  /** Silence after which a peer is suspected with `fixed`, or while too few of its heartbeats were received. */
   timeout_s: z.number().min(MIN_TIMEOUT_S).max(60).default(2.5),
-  /** A pause of this process that counts as a stall. */
+  /** Minimum length of a pause of this process that counts as a stall. */
   stall_s: z.number().positive().max(60).default(1.5),
-  /** So many stalls within the window make a controller hand its shards over. */
+  /** Number of stalls within the window after which a controller hands its shards over. */
   stalls: z.int().min(1).max(100).default(3),
   stall_window_s: z.number().positive().max(600).default(30),
-  /** A controller that most peers suspect for so long, though it receives their heartbeats, hands its shards over. */
+  /** A controller that receives its peers' heartbeats hands its shards over when most suspect it for this long. */
   give_up_after_s: z.number().positive().max(60).default(3),
-  /** Shards that suspicion may move in a minute. */
+  /** Maximum number of shards that suspicion moves per minute. */
   moves_per_minute: z.int().min(0).max(60).default(4),
-  /** A controller that returned is assigned no shard by choice for so long. */
+  /** For this long after a controller returned, it ranks below otherwise equal controllers as owner of a shard. */
   probation_s: z.number().min(0).max(600).default(10),
-  /** Writes spans of handovers to the log. */
+  /** Whether spans of handovers are written to the log. */
   trace: z.boolean().default(false),
 });
 
 /** The checked table. */
 export type SuspicionTable = z.infer<typeof suspicionSchema>;
 
-/** The settings as suspicion uses them. Times in milliseconds. */
+/** The options of suspicion, derived from the table. Times in milliseconds. */
 export interface SuspicionOptions {
   readonly detector: 'phi' | 'fixed';
   readonly phiThreshold: number;
@@ -51,7 +51,7 @@
   readonly giveUpAfterMs: number;
   readonly movesPerMinute: number;
   readonly probationMs: number;
-  /** Spans of handovers are written to the log. */
+  /** Whether spans of handovers are written to the log. */
   readonly isTraced: boolean;
 }
 
@@ -63,7 +63,7 @@
   return table?.enabled ? toOptions(table) : undefined;
 }
 
-/** What follows from the settings, for `check-config`; null when suspicion is off. Times in milliseconds. */
+/** The options and the times that follow from them, for `check-config`; null when suspicion is off. */
 export function describeSuspicion(settings: Settings): (SuspicionOptions & SuspicionTimes) | null {
   const options = readSuspicionOptions(settings);
   if (!options) return null;
@@ -76,17 +76,17 @@
   };
 }
 
-/** How long it takes, for peers whose heartbeats are regular. */
+/** The detection times for peers with regular heartbeats. */
 interface SuspicionTimes {
-  /** From the last heartbeat to the suspicion. */
+  /** Time from the last heartbeat to the suspicion. */
   readonly suspectedAfterMs: number;
-  /** From the last renewal to the expiry of the lease, which is the verdict. */
+  /** Time from the last renewal of the lease to its expiry, which declares the peer failed. */
   readonly verdictAfterMs: number;
 }
 
-/** Settings that contradict each other, with the key at fault; `shardLeaseS` is the lease that follows from the settings. */
+/** Describes a contradiction between settings and names the key at fault. `shardLeaseS` is the shard lease. */
 function findContradiction(table: SuspicionTable, shardLeaseS: number): string | undefined {
-  // The expiry of the lease is the verdict: a suspicion or a handover that comes after it is of no use.
+  // The expiry of the lease declares the controller failed: a later suspicion or handover would have no effect.
   const shorterThanLease = ['timeout_s', 'stall_s', 'give_up_after_s', 'min_deviation_s'] as const;
   const tooLong = shorterThanLease.find((key) => table[key] >= shardLeaseS);
   if (tooLong !== undefined) return `${tooLong}: must be smaller than the block lease, ${shardLeaseS} s`;
--- a/src/suspicion/peer-detector.ts
+++ b/src/suspicion/peer-detector.ts
@@ -1,4 +1,4 @@
-/** @file The failure detector: turns heartbeats, silence and the opinions of other controllers into a status for each peer. */
+/** @file The failure detector: derives each peer's status from heartbeats, silence and other controllers' opinions. */
 import type { PeerOpinion, PeerView } from '../protocol/peer-view';
 import { HeartbeatIntervals } from './heartbeat-intervals';
 import { HEARTBEAT_INTERVAL_MS, type SuspicionOptions } from './options';
@@ -6,14 +6,14 @@
 import { RunningClock } from './running-clock';
 import { assessSilence } from './silence';
 
-/** Messages of a peer that arrive closer together belong to one heartbeat, or waited in a buffer together. */
+/** Shorter intervals are not recorded: the messages belong to one heartbeat, or were buffered together. */
 const MIN_HEARTBEAT_INTERVAL_MS = HEARTBEAT_INTERVAL_MS / 10;
-/** A view counts for so many heartbeats of running time. */
+/** A view expires after this much running time without a heartbeat of its sender. */
 const MAX_VIEW_AGE_MS = 3 * HEARTBEAT_INTERVAL_MS;
 /**
- * A heartbeat that another controller received counts for so long. By then that controller has reported the next one, if
- * there was one: both come once a second. What others merely know from others doesn't count, so that no hearsay goes round
- * in a circle.
+ * Maximum age of a heartbeat that another controller received from the peer. Heartbeats are sent once a second, so by
+ * then that controller would have reported the next one. Only heartbeats that it received itself count: otherwise two
+ * controllers could keep confirming a failed peer to each other.
  */
 const MAX_INDIRECT_HEARTBEAT_AGE_MS = 2.5 * HEARTBEAT_INTERVAL_MS;
 
@@ -24,7 +24,7 @@
   readonly after: PeerState;
 }
 
-/** What is kept of one peer. */
+/** The detector's state for one peer. */
 interface ObservedPeer {
   readonly name: string;
   state: PeerState;
@@ -34,7 +34,7 @@
   lastHeartbeatAt: number | undefined;
 }
 
-/** What the records in the key-value store say of a peer's session. `unknown`: they are not loaded. */
+/** Whether the key-value store contains the record of a peer's session. `unknown`: the records are not loaded. */
 export type SessionState = 'exists' | 'ended' | 'unknown';
 
 function newPeer(name: string, now: number): ObservedPeer {
@@ -48,14 +48,14 @@
 }
 
 /**
- * Observes the peers that the settings name, and no others, so its memory is bounded. It only ever suspects: nothing that
- * it says entitles a controller to act. A verdict is the end of the peer's session in the key-value store, which it takes
- * in as `failed`.
+ * Observes only the peers that are named in the settings, so its memory is bounded. A suspicion gives no controller
+ * authority over a shard. A peer counts as failed only when its session in the key-value store has ended, which the
+ * detector records as `failed`.
  */
 export class PeerDetector {
   readonly #peers: ReadonlyMap<string, ObservedPeer>;
   readonly #runningClock: RunningClock;
-  /** The views that count, until a tick or a heartbeat may change which do. */
+  /** The cached result of `views`; reset by each tick and heartbeat. */
   #currentViews: ReadonlyMap<string, PeerView> | undefined;
 
   constructor(
@@ -68,7 +68,7 @@
     this.#peers = new Map(peers.map((name) => [name, newPeer(name, startedAt)]));
   }
 
-  /** The clock of evidence; silence is measured in its time. */
+  /** The clock in whose time silence is measured. */
   get runningClock(): RunningClock {
     return this.#runningClock;
   }
@@ -78,12 +78,12 @@
     return this.#peers.has(name);
   }
 
-  /** What is held of a peer. */
+  /** The state of a peer; undefined if the settings do not name it. */
   state(name: string): PeerState | undefined {
     return this.#peers.get(name)?.state;
   }
 
-  /** The views that count, by the peers that sent them: those that are not too old. */
+  /** The views that have not expired, by the peers that sent them. */
   get views(): ReadonlyMap<string, PeerView> {
     this.#currentViews ??= this.#selectViews();
     return this.#currentViews;
@@ -99,7 +99,7 @@
     return views;
   }
 
-  /** A heartbeat arrived, with the sender's view where it sent one. */
+  /** Applies a received heartbeat, with the sender's view if it contains one. */
   onHeartbeat(name: string, view: PeerView | undefined, now: number): void {
     const peer = this.#peers.get(name);
     if (!peer) return;
@@ -117,7 +117,7 @@
     this.#currentViews = undefined;
   }
 
-  /** Looks at all peers at a steady time; `sessionOf` tells what the records say. To be called every `TICK_MS`. */
+  /** Updates all peers at a steady time; `sessionOf` returns their sessions. Called every `TICK_INTERVAL_MS`. */
   tick(now: number, sessionOf: (name: string) => SessionState): void {
     this.#runningClock.tick(now);
     this.#currentViews = undefined;
@@ -130,13 +130,13 @@
     }
   }
 
-  /** Whether this controller itself receives no heartbeats of the peer. */
+  /** Whether this controller receives no heartbeats from the peer, whatever other controllers receive. */
   isUnresponsive(name: string): boolean {
     const peer = this.#peers.get(name);
     return !peer || this.#isUnresponsive(peer);
   }
 
-  /** How suspicious the peer's present silence is; undefined where no estimate is made. */
+  /** The phi estimate of the peer's current silence; undefined if none can be made. */
   phi(name: string): number | undefined {
     const peer = this.#peers.get(name);
     const silentMs = peer && this.#silentMs(peer);
@@ -144,13 +144,13 @@
     return assessSilence(silentMs, peer.intervals.distribution, this.options).phi;
   }
 
-  /** How long ago this controller received the peer's last heartbeat; undefined: it never did. */
+  /** Time since this controller received the peer's last heartbeat; undefined if it never received one. */
   lastHeartbeatMsAgo(name: string, now: number): number | undefined {
     const at = this.#peers.get(name)?.lastHeartbeatAt;
     return at === undefined ? undefined : now - at;
   }
 
-  /** What this controller holds of its peers, for the others. */
+  /** This controller's opinions on its peers, for its heartbeat. */
   opinions(now: number): PeerOpinion[] {
     return [...this.#peers.values()].map(({ name, state }) => ({
       node: name,
@@ -175,7 +175,7 @@
     return assessSilence(silentMs, peer.intervals.distribution, this.options).isSuspicious;
   }
 
-  /** A silence is suspicious unless another controller received a heartbeat meanwhile: then only the link here is cut. */
+  /** Suspects an unresponsive peer, unless another controller received its heartbeat: then only the link failed. */
   #checkSilence(peer: ObservedPeer, now: number): void {
     if (!this.#isUnresponsive(peer) || peer.state.status === 'unknown') return;
     const incarnation = this.#incarnationSeenByOthers(peer, now);
@@ -183,7 +183,7 @@
     else this.#applyObservation(peer, { kind: 'indirect heartbeat', incarnation }, now);
   }
 
-  /** The newest incarnation of which another controller received a heartbeat a moment ago; undefined when none did. */
+  /** The newest incarnation of which another controller recently received a heartbeat; undefined if none did. */
   #incarnationSeenByOthers({ name, state }: ObservedPeer, now: number): number | undefined {
     let newest: number | undefined;
     for (const observer of this.#peers.values()) {
--- a/src/suspicion/peer-liveness.ts
+++ b/src/suspicion/peer-liveness.ts
@@ -1,19 +1,19 @@
-/** @file Whether heartbeats of a peer arrive: what relays, redirects and handovers ask of the failure detector. */
+/** @file Whether heartbeats of a peer arrive, as relays, redirects and handovers need to know. */
 import type { Clock } from '../base/clock';
 import type { PeerHeartbeat } from '../protocol/peers';
 
-/** Peers send a heartbeat about once a second: one that sent none for longer may be unreachable. */
+/** A peer without a heartbeat for this long may be unreachable. Peers send heartbeats about once a second. */
 export const PEER_TIMEOUT_MS = 2_500;
 
-/** A failure detector as seen by whoever asks after one peer. */
+/** A failure detector for peers. */
 export interface PeerLiveness {
-  /** A heartbeat of the peer arrived. */
+  /** Applies a received heartbeat. */
   onHeartbeat(heartbeat: PeerHeartbeat): void;
-  /** Whether the peer has been silent for so long that it may be unreachable; also when it never sent a heartbeat. */
+  /** Whether no heartbeat of the peer has arrived for so long that it may be unreachable, or none has ever arrived. */
   isUnresponsive(peer: string): boolean;
 }
 
-/** The detector with suspicion off: a fixed timeout on the steady clock. */
+/** The detector that is used when suspicion is off: a fixed timeout on the steady clock. */
 export class FixedTimeoutDetector implements PeerLiveness {
   readonly #lastHeartbeatAt = new Map<string, number>();
 
--- a/src/suspicion/peer-reachability.ts
+++ b/src/suspicion/peer-reachability.ts
@@ -1,19 +1,19 @@
-/** @file Which peers, and which of their workers, this controller takes for reachable. */
+/** @file Which controllers are reachable for this controller and for the workers of their shards. */
 import type { Clock } from '../base/clock';
 import type { PeerHeartbeat } from '../protocol/peers';
 import type { PeerLiveness } from './peer-liveness';
 
-/** How long a redirected heartbeat of a worker counts. */
+/** A worker counts as redirected for this long after its last redirected heartbeat. */
 const REDIRECT_MEMORY_MS = 6_000;
-/** An owner that receives nothing from this share of its workers, while a peer does, hands over its shard. */
+/** An owner hands over its shard when it receives no heartbeats from this share of its workers, while a peer does. */
 const MIN_UNREACHABLE_SHARE = 0.7;
-/** Fewer machines than this say nothing about the controller. */
+/** Fewer unreachable machines than this don't indicate a fault of the controller. */
 const MIN_UNREACHABLE_MACHINES = 3;
 
 /**
- * Which controller reaches which workers, as far as the controllers tell each other. A controller may be unreachable for
- * its workers alone, or for all. Its workers then send their heartbeats to its peers, and must not be redirected to it
- * while they can't reach it: their leases would expire.
+ * Tracks which controllers are reachable for which workers, from the controllers' heartbeats. A controller may be
+ * unreachable for its workers only, or for its peers, too. Its workers then send their heartbeats to its peers. They
+ * must not be redirected to a controller that they can't reach, or their leases would expire.
  */
 export class PeerReachability {
   readonly #heartbeats = new Map<string, PeerHeartbeat>();
@@ -23,16 +23,16 @@
 
   constructor(
     private readonly clock: Clock,
-    /** Whether a peer's heartbeats arrive at all. */
+    /** Detects peers whose heartbeats don't arrive. */
     private readonly liveness: PeerLiveness,
   ) {}
 
-  /** A machine sent its heartbeat to this controller although a peer owns its shard. */
+  /** Records that a machine sent its heartbeat to this controller although a peer owns its shard. */
   recordRedirect(machine: string, shard: number): void {
     this.#redirected.set(machine, { shard, at: this.clock.now() });
   }
 
-  /** Takes in a peer's heartbeat. */
+  /** Applies a peer's heartbeat. */
   onHeartbeat(heartbeat: PeerHeartbeat): void {
     const now = this.clock.now();
     this.#lastHeartbeatAt = now;
@@ -51,7 +51,7 @@
     return this.#lastFreshHeartbeatAt;
   }
 
-  /** How many machines of each shard were redirected from here lately. */
+  /** Number of machines, by shard, whose heartbeats were redirected by this controller recently. */
   redirectedMachineCounts(): { shard: number; machines: number }[] {
     const now = this.clock.now();
     const counts = new Map<number, number>();
@@ -62,7 +62,7 @@
     return [...counts].map(([shard, machines]) => ({ shard, machines }));
   }
 
-  /** Whether a worker may be redirected to the owner of its shard. */
+  /** Whether the owner is reachable for this controller and for the shard's workers, so that they may be redirected. */
   isReachable(owner: string, shard: number): boolean {
     const heartbeat = this.#heartbeats.get(owner);
     if (!heartbeat || this.liveness.isUnresponsive(owner)) return false;
@@ -70,8 +70,8 @@
   }
 
   /**
-   * The peer to hand an owned shard over to, because its workers reach that peer and not this controller; undefined when
-   * no peer qualifies.
+   * The peer to which this controller should hand over a shard because most of the shard's workers reach that peer, but
+   * not this controller; undefined if there is none.
    */
   successor(shard: number, machines: number, unreachable: number): string | undefined {
     if (!areMostUnreachable(machines, unreachable)) return undefined;
@@ -87,7 +87,7 @@
   }
 }
 
-/** Whether so many machines without a heartbeat mean that this controller itself is the one that is unreachable. */
+/** Whether so many machines are unreachable that the fault is likely this controller's. */
 export function areMostUnreachable(machines: number, unreachable: number): boolean {
   return unreachable >= MIN_UNREACHABLE_MACHINES && unreachable >= machines * MIN_UNREACHABLE_SHARE;
 }
--- a/src/suspicion/peer-state.ts
+++ b/src/suspicion/peer-state.ts
@@ -1,49 +1,49 @@
-/** @file What this controller holds of one peer, and how observations change it. Pure functions. */
+/** @file The state machine of one peer's status. Pure functions. */
 import type { PeerReason, PeerStatus } from '../protocol/peer-view';
 import type { SuspicionOptions } from './options';
 
-/** How long a refuted suspicion stays visible before the peer counts as alive like any other. */
+/** Time after which the status of a peer changes from `refuted` to `alive`. */
 const REFUTED_FOR_MS = 10_000;
 
-/** What this controller holds of a peer. */
+/** The status of a peer as seen by this controller, and the state from which it follows. */
 export interface PeerState {
   readonly status: PeerStatus;
   readonly reason: PeerReason;
   /** Steady time of the last change of status. */
   readonly since: number;
-  /** The peer's session that spoke last: the revision at which its controller record was written; 0 when unknown. */
+  /** The session of the last heartbeat: the revision at which its controller record was written; 0 if unknown. */
   readonly sessionEpoch: number;
-  /** Within the session; a peer raises it to refute a suspicion. */
+  /** Counter within a session, which the peer raises to refute a suspicion. */
   readonly incarnation: number;
-  /** Running time of this process when the last heartbeat arrived; undefined before the first. */
+  /** Running time of this process at the arrival of the last heartbeat; undefined before the first. */
   readonly lastHeartbeatRunningMs: number | undefined;
 }
 
 /** A heartbeat of the peer arrived. */
 export interface HeartbeatObservation {
   readonly kind: 'heartbeat';
-  /** 0 when the heartbeat does not say. */
+  /** 0 if the heartbeat contains no session epoch. */
   readonly sessionEpoch: number;
   readonly incarnation: number;
-  /** Running time of this process when it arrived. */
+  /** Running time of this process at the arrival of the heartbeat. */
   readonly runningMs: number;
 }
 
-/** What was observed of a peer. */
+/** An event that may change the status of a peer. */
 export type PeerObservation =
   | HeartbeatObservation
-  /** No heartbeat for longer than can be by chance. */
+  /** No heartbeat for longer than the failure detector tolerates. */
   | { readonly kind: 'silence' }
-  /** Another controller received a heartbeat of the peer a moment ago. */
+  /** Another controller recently received a heartbeat of the peer. */
   | { readonly kind: 'indirect heartbeat'; readonly incarnation: number }
-  /** The controller record of the peer is gone: its lease in the key-value store has expired. */
+  /** The key-value store contains no controller record of the peer: its lease has expired. */
   | { readonly kind: 'session ended' }
-  /** There is a controller record of the peer. */
+  /** The key-value store contains a controller record of the peer. */
   | { readonly kind: 'session exists' }
-  /** Nothing happened; time has passed. */
+  /** A tick: only time has passed. */
   | { readonly kind: 'time' };
 
-/** The state of a peer of which nothing is known. */
+/** The initial state of a peer. */
 export function unknownState(now: number): PeerState {
   return {
     status: 'unknown',
@@ -60,7 +60,7 @@
   return { ...state, status, reason, since: now };
 }
 
-/** The state of a peer that sent a heartbeat just now. Without a session it stays failed, however many it sends. */
+/** The state after a direct or indirect heartbeat. A failed peer stays failed until it has a new session. */
 function onAnyHeartbeat(state: PeerState, reason: PeerReason, now: number): PeerState {
   if (state.status === 'unknown') return withStatus(state, 'alive', reason, now);
   if (state.status === 'suspected') return withStatus(state, 'refuted', reason, now);
@@ -76,7 +76,7 @@
     incarnation: isSameSession ? Math.max(incarnation, state.incarnation) : incarnation,
     lastHeartbeatRunningMs: runningMs,
   };
-  // It restarted before its absence was noticed.
+  // The peer restarted, and the end of its earlier session was not noticed.
   const isNewSession = state.sessionEpoch > 0 && sessionEpoch > state.sessionEpoch;
   return isNewSession ? withStatus(next, 'returned', 'none', now) : onAnyHeartbeat(next, 'none', now);
 }
@@ -95,7 +95,7 @@
   return hasElapsed ? withStatus(state, 'alive', 'none', now) : state;
 }
 
-/** The state after an observation at a steady time. */
+/** The state after an observation at the steady time `now`. */
 export function applyObservation(
   state: PeerState,
   observation: PeerObservation,
@@ -118,7 +118,7 @@
   }
 }
 
-/** Whether the status speaks against assigning the peer a shard. */
+/** Whether the status makes the peer a suspect: other controllers are preferred as shard owners. */
 export function isSuspect(status: PeerStatus): boolean {
   return status === 'suspected' || status === 'failed';
 }
--- a/src/suspicion/peers-report.ts
+++ b/src/suspicion/peers-report.ts
@@ -1,10 +1,10 @@
-/** @file What a controller and its peers hold of each other, as operators are shown it. */
+/** @file The report of the controllers' opinions on each other, for operators. */
 import type { PeerOpinion, PeerReason, PeerStatus, PeerView } from '../protocol/peer-view';
 import type { RejectionCounts } from './rejected-messages';
 
-/** What one controller holds of another. Times in milliseconds. */
+/** The opinion of one controller on another. Times in milliseconds. */
 export interface PeerRow {
-  /** Whose opinion it is. */
+  /** The controller that holds the opinion. */
   readonly from: string;
   readonly peer: string;
   readonly status: PeerStatus;
@@ -13,32 +13,32 @@
   readonly heardMsAgo: number | null;
   readonly run: number;
   readonly incarnation: number;
-  /** The accrual estimate; only for the opinions of the controller that was asked. */
+  /** The phi estimate; only in the opinions of the controller that sent the report. */
   readonly phi: number | null;
 }
 
-/** The answer to `GET /peers`. */
+/** The response to `GET /peers`. */
 export interface PeersReport {
   readonly node: string;
   readonly run: number;
   readonly incarnation: number;
   readonly isStalled: boolean;
-  /** Stalls of this process within the window. */
+  /** Number of stalls of this process within the window. */
   readonly stalls: number;
-  /** For how long most peers have suspected this controller; null: they don't. */
+  /** Time for which most peers have suspected this controller; null if they don't. */
   readonly suspectedForMs: number | null;
-  /** Messages of peers that were rejected, by reason. */
+  /** Number of rejected messages of peers, by reason. */
   readonly rejected: RejectionCounts;
   readonly rows: readonly PeerRow[];
 }
 
-/** What a report is made of. */
+/** The input of `peersReport`. */
 export interface PeersReportInput {
   readonly controllerId: string;
   readonly view: PeerView;
-  /** The views of peers that count, by their senders. */
+  /** The views that have not expired, by the peers that sent them. */
   readonly views: ReadonlyMap<string, PeerView>;
-  /** The accrual estimate of a peer's silence; undefined where none is made. */
+  /** The phi estimate of a peer's silence; undefined if none can be made. */
   phiOf(peer: string): number | undefined;
   readonly stalls: number;
   readonly suspectedForMs: number | undefined;
@@ -62,7 +62,7 @@
   };
 }
 
-/** Puts the report together: the opinions of this controller first, then those of its peers by their names. */
+/** Builds the report: first the opinions of this controller, then those of its peers, ordered by name. */
 export function peersReport(input: PeersReportInput): PeersReport {
   const { controllerId, view, views } = input;
   const own = view.opinions.map((opinion) => rowOf(controllerId, opinion, input.phiOf(opinion.node)));
--- a/src/suspicion/planned-handover.ts
+++ b/src/suspicion/planned-handover.ts
@@ -1,24 +1,24 @@
-/** @file When a controller hands its shards over by itself, rather than by the expiry of its lease. Pure functions. */
+/** @file When a controller hands its shards over before its lease expires. Pure functions. */
 import type { SuspicionOptions } from './options';
 import type { Pause } from './running-clock';
 
 /** Why a controller hands its shards over. */
 export type PlannedHandoverReason = 'it stalls again and again' | 'most peers suspect it';
 
-/** What a controller knows of itself. Steady times in milliseconds. */
+/** A controller's observations of itself. Steady times in milliseconds. */
 export interface SelfObservation {
-  /** Its pauses that count as stalls, within the window. */
+  /** The pauses within the window that count as stalls. */
   readonly stalls: readonly Pause[];
-  /** Since when most peers have suspected it without a break; undefined: they don't. */
+  /** Steady time since which most peers have suspected the controller without interruption; undefined if they don't. */
   readonly suspectedSince: number | undefined;
 }
 
-/** Whether so many stalls make a controller a stalled one. */
+/** Whether these stalls are so many that the controller counts as stalled. */
 export function isStalled(stalls: readonly Pause[], options: SuspicionOptions): boolean {
   return stalls.length >= options.stalls;
 }
 
-/** Why the controller should hand its shards over at this time; undefined: it should keep them. */
+/** The reason for which the controller should hand its shards over now; undefined if it should keep them. */
 export function plannedHandoverReason(
   { stalls, suspectedSince }: SelfObservation,
   options: SuspicionOptions,
--- a/src/suspicion/rejected-messages.ts
+++ b/src/suspicion/rejected-messages.ts
@@ -1,15 +1,15 @@
-/** @file Which messages of peers are rejected; counts them, and logs the first of each kind. */
+/** @file Rejects invalid heartbeats of peers, counts them, and logs the first one for each reason. */
 import type { Log } from '../base/log';
 import type { PeerHeartbeat } from '../protocol/peers';
 import type { PeerDetector } from './peer-detector';
 
-/** Why a message is rejected, as the log and the answer to `GET /peers` give it. */
+/** The reason for a rejection, as written to the log and to the response to `GET /peers`. */
 export type RejectionReason = 'malformed view' | 'unknown node' | 'earlier run' | 'earlier incarnation';
 
-/** How many messages were rejected, by reason. */
+/** Number of rejected messages, by reason. */
 export type RejectionCounts = Readonly<Partial<Record<RejectionReason, number>>>;
 
-/** Why a heartbeat that reaches this controller can't be right; undefined: it can. */
+/** The reason for which a received heartbeat is invalid; undefined if it is valid. */
 export function rejectionReason(
   { from, view, isViewMalformed = false }: PeerHeartbeat,
   controllerId: string,
@@ -19,20 +19,20 @@
   const sender = detector.state(from);
   if (!sender || view?.opinions.some(({ node }) => !isKnown(node))) return 'unknown node';
   if (isViewMalformed) return 'malformed view';
-  // A sender without a session says nothing of its epoch.
+  // A sender without a session has no epoch to compare.
   if (!view || view.run === 0) return undefined;
   if (view.run < sender.sessionEpoch) return 'earlier run';
   const isSameSession = view.run === sender.sessionEpoch;
   return isSameSession && view.incarnation < sender.incarnation ? 'earlier incarnation' : undefined;
 }
 
-/** Messages that were rejected, counted by reason. A peer that goes on sending them does not fill the log. */
+/** Counts rejected messages by reason. Only the first for each reason is logged, so that a peer can't flood the log. */
 export class RejectedMessages {
   readonly #counts = new Map<RejectionReason, number>();
 
   constructor(private readonly log: Log) {}
 
-  /** How many were rejected so far, by reason. */
+  /** Number of messages rejected so far, by reason. */
   get counts(): RejectionCounts {
     return Object.fromEntries(this.#counts);
   }
--- a/src/suspicion/running-clock.ts
+++ b/src/suspicion/running-clock.ts
@@ -1,23 +1,23 @@
-/** @file Time during which this process was seen to run, and the pauses in between. */
+/** @file Measures the time during which this process runs, and records its pauses. */
 
-/** How often the process notes that it runs, in milliseconds. */
+/** Interval of the ticks by which the process records that it is running. */
 export const TICK_INTERVAL_MS = 200;
-/** A tick adds at most this much running time, however long ago the one before was. */
+/** Maximum running time that a tick adds, however long ago the previous tick was. */
 const MAX_RUNNING_MS_PER_TICK = 1.5 * TICK_INTERVAL_MS;
-/** How many pauses are remembered. */
+/** Maximum number of pauses that are kept. */
 const MAX_PAUSES = 64;
 
-/** A time during which the process did not run. Steady times in milliseconds. */
+/** A period during which the process did not run. Steady times in milliseconds. */
 export interface Pause {
   readonly from: number;
   readonly to: number;
 }
 
 /**
- * Running time goes on only while the process runs: time in which it did not is no evidence against a peer, since what
- * the peer sent meanwhile could not be read. A process that wakes after eight seconds has aged by one tick, and one
- * whose event loop is slow ages slowly, so it takes longer to suspect others (Lifeguard's local health, without a
- * multiplier to be set).
+ * A clock that advances only while the process runs. A pause of the process is no evidence against a peer, since
+ * messages that the peer sent meanwhile could not be read. After a pause of eight seconds, running time has advanced by
+ * a single tick. In a process with a slow event loop it advances slowly, so that process takes longer to suspect others
+ * (as with Lifeguard's local health, but without a multiplier that has to be configured).
  */
 export class RunningClock {
   #lastTickAt: number;
@@ -28,7 +28,7 @@
     this.#lastTickAt = startedAt;
   }
 
-  /** Notes that the process runs at this steady time. */
+  /** Records that the process runs at this steady time. */
   tick(now: number): void {
     const elapsedMs = now - this.#lastTickAt;
     this.#runningMs += Math.min(elapsedMs, MAX_RUNNING_MS_PER_TICK);
--- a/src/suspicion/silence.ts
+++ b/src/suspicion/silence.ts
@@ -1,21 +1,21 @@
-/** @file How suspicious the silence of a peer is. A pure function. */
+/** @file Whether the time since a peer's last heartbeat, its silence, is suspicious. A pure function. */
 import type { SuspicionOptions } from './options';
 import { phi, type IntervalDistribution } from './phi';
 
 /**
- * However irregular a peer's heartbeats were, it is suspected after so many times the fixed timeout: a suspicion that comes
- * after the lease has expired, which is the verdict, is of no use.
+ * A peer is suspected after this multiple of the fixed timeout, however irregular its heartbeats were. A suspicion
+ * after the expiry of the peer's lease, which declares it failed, would have no effect.
  */
 const MAX_SILENCE_TIMEOUTS = 1.5;
 
-/** How suspicious the silence of a peer is. */
+/** The assessment of a peer's silence. */
 export interface SilenceAssessment {
-  /** The accrual estimate; undefined while too few heartbeats are known, or with the fixed timeout. */
+  /** The phi estimate; undefined with the fixed timeout, or while too few heartbeats were received. */
   readonly phi: number | undefined;
   readonly isSuspicious: boolean;
 }
 
-/** Assesses a silence of so much running time, by the distribution of the intervals before it. */
+/** Assesses a silence, measured in running time, by the distribution of earlier heartbeat intervals. */
 export function assessSilence(
   silentMs: number,
   distribution: IntervalDistribution | undefined,
--- a/src/suspicion/successor.ts
+++ b/src/suspicion/successor.ts
@@ -1,40 +1,39 @@
-/** @file Which controller is to own a shard: an order that every controller computes alike from the same facts. */
+/** @file Ranks the controllers that may own a shard. All controllers with the same input compute the same order. */
 import { createHash } from 'node:crypto';
 
-/** A controller that may own shards, without regard to suspicion. */
+/** A controller that may own shards, without its state of suspicion. */
 export interface OwnerCandidate {
   readonly controller: string;
-  /** How many shards it has. */
+  /** Number of shards that are assigned to the controller. */
   readonly shardCount: number;
-  /** Whether it runs the newest version that any controller is known to run. */
+  /** Whether the controller runs the newest version that any controller is known to run. */
   readonly isUpgraded: boolean;
 }
 
-/** A controller that could own a certain shard, with what suspicion knows of it. */
+/** A controller that may own a certain shard, with its state of suspicion. */
 export interface SuccessorCandidate extends OwnerCandidate {
   readonly isSuspect: boolean;
-  /** Whether it returned a short while ago. */
+  /** Whether the controller returned recently (`probation_s`). */
   readonly isOnProbation: boolean;
-  /** Whether it was the last to own the shard. */
+  /** Whether the controller was the last owner of the shard. */
   readonly wasLastOwner: boolean;
 }
 
-/** The weight of a controller for a shard in rendezvous hashing (Thaler and Ravishankar): the highest one wins. */
+/** The weight of a controller for a shard in rendezvous hashing (Thaler and Ravishankar). The highest weight wins. */
 export function rendezvousWeight(shard: number, controller: string): string {
   return createHash('sha256').update(`${shard}/${controller}`).digest('hex');
 }
 
-/** False before true. */
+/** Comparator that sorts false before true. */
 function falseFirst(first: boolean, second: boolean): number {
   return Number(first) - Number(second);
 }
 
 /**
- * The candidates in the order in which they are to own a shard: unsuspected ones first, then those with the fewest
- * shards, then upgraded ones (a controller that is still to be restarted would soon lose its shard again), then those
- * that did not return just now, then the one that owned the shard last, and among equals by rendezvous hashing, so that
- * a shard's successor stays the same when another controller comes or goes. Where all are suspects, that is no reason for
- * or against any.
+ * Sorts the candidates for a shard, best first. The criteria, in this order: not suspected; fewest shards; upgraded (a
+ * controller that has yet to be restarted for an upgrade would soon lose the shard again); not on probation; last owner
+ * of the shard; rendezvous hashing, by which a shard's successor stays the same when another controller joins or
+ * leaves. If all candidates are suspected, suspicion does not affect the order.
  */
 export function rankCandidates(
   shard: number,
--- a/src/suspicion/suspicion.ts
+++ b/src/suspicion/suspicion.ts
@@ -1,4 +1,4 @@
-/** @file Suspicion of failed controllers: how a controller observes its peers and itself, and what follows from it. */
+/** @file Suspicion of failed controllers: observes peers and this process, and ranks controllers as shard owners. */
 import type { Clock } from '../base/clock';
 import type { Log } from '../base/log';
 import { KEY, PREFIX, read } from '../bookkeeping/records';
@@ -18,39 +18,39 @@
 import { TICK_INTERVAL_MS, type Pause } from './running-clock';
 import { rankCandidates, type OwnerCandidate } from './successor';
 
-/** What suspicion works on. */
+/** The services and settings that suspicion uses. */
 export interface SuspicionContext {
   /** This controller. */
   readonly controllerId: string;
-  /** The other controllers, as the settings name them. */
+  /** The names of the other controllers, from the settings. */
   readonly peers: readonly string[];
   readonly clock: Clock;
   readonly cache: WatchCache;
   readonly log: Log;
 }
 
-/** A shard that is to be handed over, and to whom. */
+/** The successor to which a shard should be handed over, and the reason. */
 export interface PlannedHandover {
   readonly successor: string;
   readonly reason: PlannedHandoverReason;
 }
 
 /**
- * Observes peers and this process, exchanges views with the peers, and ranks controllers. It entitles no controller to
- * act: the right to act stays with lease and fencing token, and the verdict over a peer is the end of its session. All
- * that follows from it is reversible.
+ * Observes the peers and this process, exchanges views with the peers, and ranks controllers. A suspicion
+ * gives no controller authority over a shard: that takes the shard lease and a fencing token. Only the end of a peer's
+ * session declares the peer failed. All effects of a suspicion are reversible.
  */
 export class Suspicion implements PeerLiveness {
   readonly #detector: PeerDetector;
   readonly #rejected: RejectedMessages;
   readonly #moves: MoveLimiter;
-  /** The peers whose view of the key-value store was fresh when they sent their last heartbeat. */
+  /** The peers whose watch cache was fresh when they sent their last heartbeat. */
   readonly #peersWithFreshView = new Set<string>();
-  /** The session of this controller: the revision at which its record was written; 0 before the first. */
+  /** The session of this controller: the revision at which its record was written; 0 before the first session. */
   #sessionEpoch = 0;
-  /** Raised within a session to refute a suspicion. */
+  /** Counter within a session, raised to refute a suspicion. */
   #incarnation = 0;
-  /** Since when most peers have suspected this controller. */
+  /** Steady time since which most peers have suspected this controller. */
   #suspectedSince: number | undefined;
 
   constructor(
@@ -68,7 +68,7 @@
     });
   }
 
-  /** One look at the peers and at this process; to be run in a loop. */
+  /** Waits for the tick interval, then updates the status of the peers and of this process. Runs in a loop. */
   async step(signal: AbortSignal): Promise<void> {
     const { clock, cache, controllerId } = this.context;
     await clock.sleep(TICK_INTERVAL_MS, signal);
@@ -79,14 +79,14 @@
     this.#suspectedSince = isSuspected ? (this.#suspectedSince ?? now) : undefined;
   }
 
-  /** Whether a peer's heartbeat is to be taken in. One that can't be right is counted, and logged once. */
+  /** Whether a peer's heartbeat is valid. An invalid one is counted, and the first for each reason is logged. */
   accepts(heartbeat: PeerHeartbeat): boolean {
     const reason = rejectionReason(heartbeat, this.context.controllerId, this.#detector);
     if (reason !== undefined) this.#rejected.add(reason, heartbeat.from);
     return reason === undefined;
   }
 
-  /** Takes in a heartbeat that was accepted. */
+  /** Applies a heartbeat that `accepts` returned true for. */
   onHeartbeat({ from, isViewFresh, view }: PeerHeartbeat): void {
     this.#detector.onHeartbeat(from, view, this.context.clock.now());
     if (isViewFresh) this.#peersWithFreshView.add(from);
@@ -94,7 +94,7 @@
     if (view) this.#refute(view);
   }
 
-  /** Raises the incarnation above one that is suspected; the next heartbeat carries it. */
+  /** Raises the incarnation above a suspected one; the next heartbeat sends it to the peers. */
   #refute({ opinions }: PeerView): void {
     for (const { node, run, status, incarnation } of opinions) {
       const isAboutThis = node === this.context.controllerId && run >= this.#sessionEpoch;
@@ -107,7 +107,7 @@
     return this.#detector.isUnresponsive(peer);
   }
 
-  /** What this controller tells its peers. */
+  /** This controller's view of its peers and of itself, for its heartbeat. */
   view(): PeerView {
     return {
       run: this.#sessionEpoch,
@@ -117,7 +117,7 @@
     };
   }
 
-  /** The candidates in the order in which they are to own a shard; computed alike by all that hold the same views. */
+  /** Ranks the candidates for a shard, best first. Controllers with the same views compute the same order. */
   rankOwners(shard: number, candidates: readonly OwnerCandidate[]): string[] {
     const lastOwner = this.#lastOwnerOf(shard);
     const assessed = candidates.map((candidate) => ({
@@ -129,7 +129,7 @@
     return rankCandidates(shard, assessed).map(({ controller }) => controller);
   }
 
-  /** Whether a controller, this one included, is to be assigned nothing by choice. */
+  /** Whether a controller, possibly this one, is suspected or stalled: others are preferred as shard owners. */
   isSuspect(controller: string): boolean {
     if (this.#isSuspectedByMajority(controller)) return true;
     if (controller === this.context.controllerId) return this.#isStalled();
@@ -146,20 +146,20 @@
     return isSuspectedByMajority({ controller, sessionEpoch }, this.#detector.views, peers.length);
   }
 
-  /** Whether damping allows a shard whose lease is free to be assigned to another controller than was chosen. */
+  /** Whether damping allows a shard to be assigned to another controller before the assigned one acquired its lease. */
   allowsReassignment(): boolean {
     return this.#moves.allowsAnyMove(this.context.clock.now());
   }
 
-  /** Whether damping allows a shard to be moved by choice at this moment. */
+  /** Whether damping allows a shard to be moved now from an owner that holds its lease. */
   allowsMove(shard: number): boolean {
     return this.#moves.allowsMove(shard, this.context.clock.now());
   }
 
   /**
-   * To whom this controller should hand a shard over because it is slow itself; undefined: it should keep it. Only to a
-   * peer that sent a heartbeat since the last stall and can itself reach the key-value store: where all are slow, no
-   * controller is better.
+   * The handover by which this controller should give up a shard because it is stalled or suspected; undefined if it
+   * should keep the shard. The successor must reach the key-value store and have sent a heartbeat since this
+   * controller's last stall: if all controllers are slow, a handover is no improvement.
    */
   plannedHandover(shard: number, candidates: readonly OwnerCandidate[]): PlannedHandover | undefined {
     const self = { stalls: this.#recentStalls(), suspectedSince: this.#suspectedSince };
@@ -174,7 +174,7 @@
     return read.shard(this.context.cache.get(KEY.shard(shard))?.value)?.holder;
   }
 
-  /** Whether a peer is in a state to own a shard that this controller hands over. */
+  /** Whether a peer may become the owner of a shard that this controller hands over. */
   #isEligibleSuccessor(peer: string): boolean {
     if (peer === this.context.controllerId || this.isSuspect(peer) || this.isUnresponsive(peer)) return false;
     if (!this.#peersWithFreshView.has(peer) || !this.#detector.views.has(peer)) return false;
@@ -184,7 +184,7 @@
     return (this.#detector.lastHeartbeatMsAgo(peer, now) ?? Infinity) < sinceStallMs;
   }
 
-  /** What this controller and its peers hold of each other, for operators. */
+  /** The opinions of this controller and its peers on each other, for operators. */
   report(): PeersReport {
     const { controllerId, clock } = this.context;
     return peersReport({
@@ -198,7 +198,7 @@
     });
   }
 
-  /** The pauses of this process that count as stalls, within the window. */
+  /** The pauses of this process within the window that count as stalls. */
   #recentStalls(): Pause[] {
     const { stallWindowMs, stallMs } = this.options;
     return this.#detector.runningClock.pausesSince(this.context.clock.now() - stallWindowMs, stallMs);
@@ -225,7 +225,7 @@
     const { status, reason, sessionEpoch, incarnation } = after;
     this.context.log.info(
       { peer, before: before.status, status, reason, run: sessionEpoch, incarnation },
-      'status of a peer changed',
+      'peer status changed',
     );
   }
 }
