--- a/src/admission/fair-shares.ts
+++ b/src/admission/fair-shares.ts
@@ -26,8 +26,8 @@
 const EPSILON = 1e-9;
 
 /**
- * Weighted max-min fairness: divides an amount in proportion to the weights, and divides what exceeds a demand among
- * the others (Demers, Keshav and Shenker, "Analysis and Simulation of a Fair Queueing Algorithm", 1989).
+ * Weighted max-min fairness: divides an amount in proportion to the weights. A share's excess over its demand is
+ * divided among the others (Demers, Keshav and Shenker, "Analysis and Simulation of a Fair Queueing Algorithm", 1989).
  */
 export function maxMinFairShares<Key>(
   amount: number,
--- a/src/suspicion/suspicion.ts
+++ b/src/suspicion/suspicion.ts
@@ -36,9 +36,9 @@
 }
 
 /**
- * Observes the peers and this process, exchanges views with the peers, and ranks controllers. A suspicion
- * gives no controller authority over a shard: that takes the shard lease and a fencing token. Only the end of a peer's
- * session declares the peer failed. All effects of a suspicion are reversible.
+ * Observes the peers and this process, exchanges views with the peers, and ranks controllers. A suspicion gives no
+ * controller authority over a shard: that takes the shard lease and a fencing token. Only the end of a peer's session
+ * declares the peer failed. All effects of a suspicion are reversible.
  */
 export class Suspicion implements PeerLiveness {
   readonly #detector: PeerDetector;
