--- a/test/admission-steps.ts
+++ b/test/admission-steps.ts
@@ -1,4 +1,4 @@
-/** @file Steps that tests of admission share. */
+/** @file Shared steps of the tests of admission. */
 import assert from 'node:assert/strict';
 import { KEY, read } from '../src/bookkeeping/records';
 import type { SubmissionOutcome, RetryingUsers } from './fakes/retrying-users';
@@ -6,22 +6,21 @@
 
 export const ADMISSION = { enabled: true, enter_s: 60, leave_s: 30, stalled_s: 10, epoch_s: 5 };
 export const OBJECTIVES = ['bulk', 'photo', 'index'].map((name) => ({ kind: 'wait', class: name }));
-/** 48 CPUs. */
 export const MACHINES = 12;
 export const CAPACITY_CPUS = 4 * MACHINES;
 
-/** A deployment with admission on. */
+/** Creates a deployment with admission enabled. */
 export function admissionCluster(admission: Record<string, unknown> = ADMISSION): SimulatedCluster {
   const cluster = new SimulatedCluster({ operator: { admission }, objectives: OBJECTIVES, heartbeatS: 3 });
   cluster.capacity = MACHINES;
   return cluster;
 }
 
-/** The epoch in force. */
+/** The current admission epoch. */
 export const epochOf = (cluster: SimulatedCluster) =>
   read.admission(cluster.store.data.get(KEY.admission)?.data);
 
-/** Fills the fleet and has work of the classes accepted beyond it, until there is an overload. */
+/** Submits more jobs than the fleet can run, of the given flows in rotation, until an overload is detected. */
 export async function causeOverload(
   cluster: SimulatedCluster,
   users: RetryingUsers,
@@ -29,7 +28,7 @@
 ): Promise<void> {
   await cluster.untilOwned();
   await cluster.until(
-    'all controllers understand the format',
+    'the format gate is open',
     () => epochOf(cluster) !== undefined || isFormatGateOpen(cluster),
   );
   for (let n = 0; n < 6; n += 1) {
@@ -37,10 +36,10 @@
     assert.ok(jobClass !== undefined && team !== undefined);
     users.submit(jobClass, team, 20, 60);
   }
-  await cluster.until('there is an overload', () => epochOf(cluster)?.isOverloaded === true, 60);
+  await cluster.until('an overload is detected', () => epochOf(cluster)?.isOverloaded === true, 60);
 }
 
-/** Whether all controllers have shown which records they understand. */
+/** Whether all controllers have written their format record. */
 export const isFormatGateOpen = (cluster: SimulatedCluster): boolean =>
   [...cluster.store.data.keys()].filter((key) => key.startsWith('live/format/')).length === 3;
 
@@ -48,7 +47,7 @@
 export const acceptedJobs = (outcomes: readonly SubmissionOutcome[]): SubmissionOutcome[] =>
   outcomes.filter((o) => o.acceptedAt !== undefined);
 
-/** CPU seconds of the accepted jobs that are meant. */
+/** Total CPU seconds of the accepted jobs that satisfy a condition. */
 export const acceptedCpuSeconds = (
   outcomes: readonly SubmissionOutcome[],
   isIncluded: (outcome: SubmissionOutcome) => boolean,
@@ -57,7 +56,7 @@
     .filter(isIncluded)
     .reduce((sum, { cpuSeconds }) => sum + cpuSeconds, 0);
 
-/** The controller that leads. */
+/** The name of the current leader. */
 export function leaderOf(cluster: SimulatedCluster): string | undefined {
   return read.leader(cluster.store.data.get(KEY.leader)?.data)?.node;
 }
--- a/test/dependency-steps.ts
+++ b/test/dependency-steps.ts
@@ -1,22 +1,22 @@
-/** @file Steps that tests of dependencies between jobs share. */
+/** @file Shared steps of the tests of job dependencies. */
 import assert from 'node:assert/strict';
 import { submission } from './fakes/submission';
 import { CANCEL_S, SimulatedCluster } from './fakes/simulated-cluster';
 
 const CONTROLLER_INDICES = [0, 1, 2];
 
-/** Time enough for every node to see the format marks of all. */
+/** Time within which every controller has received the format records of all others. */
 const FORMAT_GATE_PROPAGATION_MS = 1_500;
 
-/** Lets time pass until every node accepts submissions with dependencies. */
+/** Advances the time until every controller accepts submissions with dependencies. */
 export async function untilDependenciesAccepted(cluster: SimulatedCluster): Promise<void> {
   await cluster.untilOwned();
   const hasFormatRecord = (index: number): boolean => cluster.store.data.has(`live/format/node-${index}`);
-  await cluster.until('all format marks are there', () => CONTROLLER_INDICES.every(hasFormatRecord));
+  await cluster.until('all format records are written', () => CONTROLLER_INDICES.every(hasFormatRecord));
   await cluster.clock.advance(FORMAT_GATE_PROPAGATION_MS);
 }
 
-/** Submits a job that needs others. */
+/** Submits a job with dependencies. */
 export async function submitDependent(
   cluster: SimulatedCluster,
   dependencies: readonly string[],
@@ -28,7 +28,7 @@
   await cluster.submit(id, { ...fields, awaits: dependencies }, runS, index);
 }
 
-/** Submits jobs of which each needs the one before, at the nodes in turn; their ids, in order. */
+/** Submits a chain of jobs, each of which depends on the previous one, to the controllers in rotation; returns the ids. */
 export async function submitChain(
   cluster: SimulatedCluster,
   length: number,
@@ -44,7 +44,7 @@
   return ids;
 }
 
-/** Submits many jobs at once, in groups that the state service can take, and tries again until each is accepted. */
+/** Submits many jobs, in batches within the store's rate limit, and retries until all are accepted. */
 export async function submitMany(
   cluster: SimulatedCluster,
   ids: readonly string[],
@@ -69,7 +69,7 @@
   assert.equal(missing.size, 0, `${missing.size} jobs were not accepted`);
 }
 
-/** What every node answers about a job, in the order of the nodes. */
+/** The state, or else HTTP status, that each running controller returns for a job, in the order of their indices. */
 export async function jobStates(cluster: SimulatedCluster, id: string): Promise<(string | number)[]> {
   const states: (string | number)[] = [];
   for (const index of CONTROLLER_INDICES) {
@@ -78,7 +78,7 @@
   return states;
 }
 
-/** Every node calls each of the jobs this. */
+/** Asserts that every running controller returns this state for each of the jobs. */
 export async function assertStateEverywhere(
   cluster: SimulatedCluster,
   ids: readonly string[],
@@ -89,7 +89,7 @@
   }
 }
 
-/** Lets the bound on cancellations pass; then every node calls each of the jobs cancelled, and none has a task. */
+/** Waits for the time limit for cancellations; then asserts that all jobs are cancelled and never started a task. */
 export async function assertCancelledInTime(
   cluster: SimulatedCluster,
   ids: readonly string[],
@@ -101,13 +101,13 @@
   assert.deepEqual(startCommandsOf(cluster, ids), []);
 }
 
-/** Every command to start a task of these jobs that reached a machine. */
+/** All start commands for tasks of these jobs that workers executed. */
 export function startCommandsOf(cluster: SimulatedCluster, ids: readonly string[]): string[] {
   const starts = [...cluster.workers.values()].flatMap((worker) => worker.startCommands);
   return starts.filter((start) => ids.includes(start.split('/')[0] ?? ''));
 }
 
-/** Watches that nothing starts before the state service has recorded all its dependencies as done; what did. */
+/** Records every task that starts before the store contains the final state 'done' of all its job's dependencies. */
 export function recordEarlyStarts(cluster: SimulatedCluster): string[] {
   const early: string[] = [];
   cluster.onTaskStarted = (task) => {
@@ -120,7 +120,7 @@
   return early;
 }
 
-/** A pipeline whose first job runs. */
+/** Submits a chain of jobs and waits until the first one runs. `rest` has the ids of the others. */
 export async function startPipeline(
   length = 5,
   runS = 300,
@@ -129,11 +129,11 @@
   await untilDependenciesAccepted(cluster);
   cluster.setRunTime('req-1', runS);
   const ids = await submitChain(cluster, length, {}, runS);
-  await cluster.until('the first runs', () => cluster.machineOf('req-1/0') !== undefined);
+  await cluster.until('the first job runs', () => cluster.machineOf('req-1/0') !== undefined);
   return { cluster, ids, rest: ids.slice(1) };
 }
 
-/** Asks for every job at every node, again and again for the bound on cancellations and a bit more. */
+/** Polls every job at every controller beyond the time limit for cancellations; the invariants check the responses. */
 export async function pollDuringCancellation(
   cluster: SimulatedCluster,
   ids: readonly string[],
@@ -154,7 +154,7 @@
   cluster.assertInvariants();
 }
 
-/** A deployment whose nodes all accept submissions with dependencies. */
+/** Creates a deployment, and waits until all controllers accept submissions with dependencies. */
 export async function clusterAcceptingDependencies(
   options: ConstructorParameters<typeof SimulatedCluster>[0] = {},
 ): Promise<SimulatedCluster> {
--- a/test/fakes/clock.ts
+++ b/test/fakes/clock.ts
@@ -1,4 +1,4 @@
-/** @file Time that scenarios control. */
+/** @file Simulated time that tests advance, and the clock of a simulated process. */
 import TinyQueue from 'tinyqueue';
 import type { Clock } from '../../src/base/clock';
 
@@ -9,16 +9,16 @@
   fire(): void;
 }
 
-/** What the stand-ins need of time: a scenario's, or the real one's under load. */
+/** The part of a clock that the fakes use: simulated in tests, real in load tests. */
 export interface TimerClock extends Pick<Clock, 'now' | 'sleep'> {
   after(ms: number, fire: () => void): unknown;
 }
 
-/** Time that moves only when a scenario says so. */
+/** A clock that moves only when a test advances it. */
 export class FakeClock implements Clock, TimerClock {
   #now = 0;
   #order = 0;
-  /** The next to fall due first; those of one moment in the order in which they were set. */
+  /** Ordered by due time; timers due at the same time fire in the order in which they were set. */
   readonly #timers = new TinyQueue<Timer>([], (a, b) => a.at - b.at || a.order - b.order);
 
   now(): number {
@@ -58,7 +58,7 @@
     });
   }
 
-  /** Lets time pass, firing what falls due, in order. */
+  /** Advances the time and fires the timers that become due, in order. */
   async advance(ms: number): Promise<void> {
     const end = this.#now + ms;
     for (;;) {
@@ -81,13 +81,13 @@
 }
 
 /**
- * A process's view of the simulated time, with the process standing still now and then: what falls due meanwhile happens
- * all at once afterwards, and time has gone on.
+ * The clock of a process that tests can freeze, delay and kill. Time goes on while the process is frozen; timers that
+ * become due and messages that arrive meanwhile take effect when it resumes.
  */
 export class FakeProcess implements Clock {
   #resumed: Promise<void> | undefined;
   #killed = false;
-  /** How much longer every timer and every message takes. */
+  /** Delay that is added to every timer and every message. */
   delayMs = 0;
 
   constructor(private readonly clock: FakeClock) {}
@@ -105,7 +105,7 @@
     await this.#untilRunning();
   }
 
-  /** Nothing that the process began continues. */
+  /** Kills the process: its pending timers and requests never complete. */
   kill(): void {
     this.#killed = true;
   }
@@ -124,7 +124,7 @@
     if (this.#killed) await new Promise(() => undefined);
   }
 
-  /** The process resumes when the function that is returned is called. */
+  /** Freezes the process. Returns a function that resumes it. */
   freeze(): () => void {
     let resume: () => void = () => undefined;
     this.#resumed = new Promise((resolve) => {
@@ -136,7 +136,7 @@
     };
   }
 
-  /** What comes from outside waits until the process resumes. */
+  /** Waits for a message or response, and then until the process runs. */
   async whenRunning<T>(from: Promise<T>): Promise<T> {
     try {
       return await from;
@@ -146,7 +146,7 @@
   }
 }
 
-/** Lets everything run that waits for nothing but its turn. */
+/** Runs all microtasks and immediates that don't wait for a timer of this clock. */
 async function drainEventLoop(): Promise<void> {
   for (let iteration = 0; iteration < 3; iteration += 1)
     await new Promise((resolve) => setImmediate(resolve));
--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -1,13 +1,13 @@
-/** @file The cloud in memory: it offers one machine type, and rents, lists and releases machines. */
+/** @file A fake cloud in memory: it offers one machine type, and rents, lists and releases machines. */
 import type { HttpResponse } from '../../src/transport/http-client';
 import type { Request } from './network';
 import type { MachineDescription } from './task-invariants';
 import type { FakeWorker } from './worker';
 
-/** The only machine type. */
+/** The only machine type, as the cloud API describes it. */
 export const MACHINE_TYPE = { label: 'm4', cpus: 4, cards: 0, memGb: 16, yards: ['a', 'b'] };
 
-/** Machines that a page of the list holds at most. */
+/** Most machines in a page of the list. */
 const MAX_PAGE = 500;
 
 /** The machines that the cloud has rented out. */
@@ -19,11 +19,11 @@
 
 /** Answers the controllers' requests to the cloud. */
 export class FakeCloud {
-  /** How many machines the cloud still has to rent. */
+  /** How many more machines the cloud can rent out. */
   capacity = 8;
-  /** The cloud answers what no protocol knows. */
+  /** Whether responses violate the protocol. */
   sendsMalformedResponses = false;
-  /** The machines of each booking. */
+  /** Ids of the machines by booking. */
   readonly bookings = new Map<string, string[]>();
 
   constructor(private readonly fleet: Fleet) {}
@@ -43,7 +43,7 @@
     return this.#list(new URL(path, 'http://cloud').searchParams);
   }
 
-  /** A page of the machines, in the order of their names. */
+  /** A page of the machines, in the order of their ids. */
   #list(query: URLSearchParams): HttpResponse {
     const since = query.get('since') ?? '';
     const limit = Math.min(MAX_PAGE, Number(query.get('limit') ?? MAX_PAGE));
--- a/test/fakes/controller-settings.ts
+++ b/test/fakes/controller-settings.ts
@@ -1,4 +1,4 @@
-/** @file The settings of the controllers in memory: addresses, teams, limits and leases. */
+/** @file Settings of the controllers in the simulated deployment: addresses, teams, limits and leases. */
 import type { Observer } from './network';
 import type { Version } from './versions';
 
@@ -10,42 +10,42 @@
 
 const DEFAULT_CONTROLLERS = 3;
 
-/** Names and addresses of the controllers that a deployment may have; `nodesOf` has those that exist. */
+/** Names and addresses of the controllers that a deployment can have; see `controllersOf`. */
 export const POSSIBLE_CONTROLLERS = [0, 1, 2, 3, 4].map((index) => ({
   name: `node-${index}`,
   address: `10.0.0.${index + 1}:8080`,
 }));
 
-/** What differs between the deployments of scenarios. */
+/** Options of a simulated deployment. */
 export interface ClusterOptions {
-  /** How many controllers there are, up to five; three where nothing is said. */
+  /** Number of controllers, at most five; three by default. */
   controllers?: number | undefined;
   limitCpus?: number;
   operator?: Record<string, unknown>;
-  /** An operator's settings of single controllers, instead of those of all. */
+  /** Operator settings by the index of the controller; they replace `operator` for this controller. */
   operators?: Record<string, unknown>[];
   objectives?: { kind: string; class: string }[];
   coreShare?: number;
   writeRps?: number;
   cloudRps?: number;
-  /** Seconds between two reports of a worker. */
+  /** Seconds between two heartbeats of a worker. */
   heartbeatS?: number;
-  /** The versions that the controllers start with; the present one where there is none. */
+  /** Versions that the controllers start with, by index; the present one by default. */
   versions?: Version[];
-  /** Limits of the state service that the settings announce; see `FakeStateService.limits` for their coming into force. */
+  /** Announced new limits of the key-value store. The store enforces them once `FakeKeyValueStore.limits` is set. */
   nextLimits?: Record<string, unknown>;
-  /** Called for every message from the start on. */
+  /** Called for every message, from the start of the deployment. */
   observer?: Observer | undefined;
 }
 
-/** The controllers of a deployment. */
+/** Names and addresses of a deployment's controllers. */
 export function controllersOf({
   controllers = DEFAULT_CONTROLLERS,
 }: ClusterOptions): typeof POSSIBLE_CONTROLLERS {
   return POSSIBLE_CONTROLLERS.slice(0, controllers);
 }
 
-/** What a controller reads at its start; `coreShare` is its share of a core. */
+/** The settings that a controller reads at its start; `coreShare` is its CPU quota in cores. */
 export function controllerSettings(index: number, options: ClusterOptions, coreShare: number) {
   return {
     platform: {
--- a/test/fakes/dependency-model.ts
+++ b/test/fakes/dependency-model.ts
@@ -1,4 +1,4 @@
-/** @file Which jobs depend on which, as their users submitted them, and what follows for the invariants. */
+/** @file The graph of job dependencies as users submitted them, for the invariants. */
 import type { ObservedJob } from './observed-jobs';
 
 /** The dependency graph of all jobs. */
@@ -7,7 +7,7 @@
 
   constructor(private readonly jobs: ReadonlyMap<string, ObservedJob>) {}
 
-  /** To be called once for each job, when its description is known. */
+  /** Adds a job's dependencies to the graph. Called once for each job, when its submission is recorded. */
   add(id: string): void {
     for (const dependency of this.dependencies(id)) {
       const dependents = this.#dependents.get(dependency);
@@ -20,32 +20,32 @@
     return this.jobs.get(id)?.submission?.awaits ?? [];
   }
 
-  /** Every job that this one needs, directly or through others. */
+  /** All direct and indirect dependencies of a job. */
   ancestors(id: string): Set<string> {
     return reachable(id, (jobId) => this.dependencies(jobId));
   }
 
-  /** Every job that needs this one, directly or through others. */
+  /** All direct and indirect dependents of a job. */
   descendants(id: string): Set<string> {
     return reachable(id, (jobId) => this.#dependents.get(jobId) ?? []);
   }
 
-  /** The first job that this one needs directly and that isn't done. */
+  /** The first direct dependency that isn't done. */
   unfinishedDependency(id: string): string | undefined {
     return this.dependencies(id).find((dependency) => !this.#isDone(dependency));
   }
 
-  /** Whether some user's request makes it right that the job is cancelled. */
+  /** Whether the job may be cancelled: a user requested to cancel it or one of its dependencies. */
   isCancellationAllowed(id: string): boolean {
     return [id, ...this.ancestors(id)].some((jobId) => {
       const job = this.jobs.get(jobId);
       if (!job?.isCancelRequested) return false;
-      // A job that was done before its cancellation cancels nothing that needs it.
+      // Cancelling a job that is already done has no effect on its dependents.
       return jobId === id || job.final?.state !== 'done';
     });
   }
 
-  /** When it was first answered that a job which this one needs is cancelled. */
+  /** When a response first confirmed the cancellation of one of the job's dependencies. */
   ancestorCancelledAt(id: string): number | undefined {
     const times = [...this.ancestors(id)].flatMap((jobId) => this.jobs.get(jobId)?.cancelledAt ?? []);
     return times.length === 0 ? undefined : Math.min(...times);
--- a/test/fakes/deployment.ts
+++ b/test/fakes/deployment.ts
@@ -1,4 +1,4 @@
-/** @file Controllers, state service and network in memory, with the faults that scenarios inject. */
+/** @file Controllers, key-value store and network in memory, with the faults that tests inject. */
 import assert from 'node:assert/strict';
 import type { Controller } from '../../src/coordination/controller';
 import type { Environment } from '../../src/coordination/environment';
@@ -18,7 +18,7 @@
 import { createController, type Version } from './versions';
 import type { FakeWorker } from './worker';
 
-/** The sender of copies: their answers are dropped. */
+/** The sender of replayed heartbeats; it drops the responses. */
 const REPLAY_SENDER = 'late';
 
 const nothing = (): void => undefined;
@@ -42,28 +42,28 @@
   alive: boolean;
 }
 
-/** Starts, kills and suspends controllers, and cuts them and workers off from each other. */
+/** Starts, kills and freezes controllers, and partitions controllers and workers from each other. */
 export class Deployment {
   readonly clock = new FakeClock();
   readonly network = new FakeNetwork(this.clock);
   readonly store = new FakeKeyValueStore(this.clock);
   readonly workers = new Map<string, FakeWorker>();
   readonly controllers: ControllerProcess[] = [];
-  /** The share of a core of controllers that start from now on. */
+  /** CPU quota in cores of the controllers that start from now on. */
   coreShare = 1;
-  /** All messages between controllers are lost. */
+  /** Whether all messages between controllers are lost. */
   dropsPeerMessages = false;
-  /** Kinds of messages between controllers that are lost. */
+  /** Kinds of peer messages that are lost. */
   readonly lostPeerMessages = new Set<string>();
-  /** Controllers that exchange no messages with their peers. */
+  /** Controllers whose peer messages are all lost, sent and received. */
   readonly isolatedControllers = new Set<string>();
-  /** Pairs of controllers that exchange no messages, as `a|b`. */
+  /** Pairs of controllers whose peer messages are lost in both directions, as `a|b`. */
   readonly partitionedPairs = new Set<string>();
-  /** Pairs of controllers of which the second receives no messages of the first, as `a>b`. */
+  /** One-way partitions as `a>b`: peer messages from `a` to `b` are lost, those from `b` to `a` arrive. */
   readonly oneWayLostPairs = new Set<string>();
-  /** Called before each answer reaches a controller, with its index: the moment to stop its process. */
+  /** Called with a controller's index just before it receives a response, so that tests can stop its process then. */
   onResponse: (index: number, request: { path: string; body: unknown }) => void = nothing;
-  /** Called for each line of level info, with the index of the controller that wrote it. */
+  /** Called for each log line of level info, with the index of the controller that wrote it. */
   onLog: (index: number, fields: Record<string, unknown>, message: string) => void = nothing;
   #nameCount = 0;
 
@@ -72,7 +72,7 @@
     if (options.observer) this.network.observe(options.observer);
   }
 
-  /** Starts a controller in place of the one before it, if any. */
+  /** Starts a controller; it replaces an earlier process of the same index. */
   protected addController(index: number, version: Version): void {
     const host = POSSIBLE_CONTROLLERS[index];
     assert(host);
@@ -110,7 +110,7 @@
     };
   }
 
-  /** The requests of a controller; those that a killed process had in flight end with it. */
+  /** The HTTP client of a controller. Requests of a killed process never get a response. */
   #callerOf(index: number, name: string, process: FakeProcess): HttpCaller {
     const caller = this.network.caller(name);
     return {
@@ -139,7 +139,7 @@
     }
   }
 
-  /** Whether messages of a controller reach a peer. */
+  /** Whether peer messages from one controller to another are delivered. */
   #isConnected(from: string, to: string): boolean {
     if (from === to || this.isolatedControllers.has(to)) return false;
     if (this.partitionedPairs.has(`${from}|${to}`) || this.partitionedPairs.has(`${to}|${from}`))
@@ -147,7 +147,7 @@
     return !this.oneWayLostPairs.has(`${from}>${to}`);
   }
 
-  /** The controller's process is killed. */
+  /** Kills the controller's process. */
   kill(index: number): void {
     const controller = this.controllers[index];
     assert(controller?.alive);
@@ -157,21 +157,21 @@
     this.network.detach(controller.address);
   }
 
-  /** The controller comes up again, with the version that it had unless another is named. */
+  /** Restarts a killed controller, with its previous version unless another is given. */
   restart(index: number, version?: Version): void {
     const controller = this.controllers[index];
     assert(controller?.alive === false);
     this.addController(index, version ?? controller.version);
   }
 
-  /** Stops the controller's process, while its clocks go on, until the function that is returned is called. */
+  /** Freezes the controller's process while time goes on. Returns a function that resumes it. */
   freeze(index: number): () => void {
     const controller = this.controllers[index];
     assert(controller?.alive);
     return controller.process.freeze();
   }
 
-  /** Every timer and every message of the controller takes so much longer, until the function returned is called. */
+  /** Delays every timer and every message of the controller. Returns a function that ends the delay. */
   delayProcess(index: number, delayMs: number): () => void {
     const controller = this.controllers[index];
     assert(controller?.alive);
@@ -187,12 +187,12 @@
     return controller?.alive === true && !controller.process.isFrozen;
   }
 
-  /** The index of the controller that owns shard 0 and may act, or -1. */
+  /** The index of the controller that owns shard 0 with a valid lease, or -1. */
   get owner(): number {
     return this.controllers.findIndex((c) => c.alive && c.controller.owners.get(0)?.entitled === true);
   }
 
-  /** The controller reads other settings of its operator when it starts next. */
+  /** Sets the operator settings that the controller reads at its next start. */
   setOperatorOptions(index: number, operator: Record<string, unknown>): void {
     const operators = controllersOf(this.options).map(
       (_, other) => this.options.operators?.[other] ?? this.options.operator ?? {},
@@ -213,7 +213,7 @@
     return worker;
   }
 
-  /** The controller and its peers exchange no messages until the function returned is called. */
+  /** Loses all peer messages to and from the controller. Returns a function that ends the partition. */
   isolateFromPeers(index: number): () => void {
     const name = `node-${index}`;
     const pairs = POSSIBLE_CONTROLLERS.filter((other) => other.name !== name).map(
@@ -225,7 +225,7 @@
     };
   }
 
-  /** The worker's reports arrive; answers and direct commands to it are lost, until the function returned is called. */
+  /** Loses responses and commands to the worker; its heartbeats arrive. Returns a function that ends the fault. */
   dropMessagesTo(machine: string): () => void {
     const { address } = this.worker(machine);
     return this.network.rule(({ from, to }) =>
@@ -233,20 +233,20 @@
     );
   }
 
-  /** The worker reaches no controller, while direct commands reach it. */
+  /** The worker's heartbeats fail, while direct commands reach it. Returns a function that ends the fault. */
   dropMessagesFrom(machine: string): () => void {
     return this.network.rule(({ from }) => (from === machine ? 'unreachable' : undefined));
   }
 
-  /** Neither reports nor commands get through. */
+  /** Loses heartbeats and commands. Returns a function that ends the partition. */
   isolateWorker(machine: string): () => void {
     const { address } = this.worker(machine);
     return this.network.rule(({ from, to }) => (from === machine || to === address ? 'lose' : undefined));
   }
 
   /**
-   * Keeps copies of the reports that workers send from now on. They may arrive again at any controller, also one that
-   * leads only by then.
+   * Copies the heartbeats that workers send from now on. `replay` sends the copies again as delayed duplicates, to any
+   * controller, even one that became the owner only after they were first sent.
    */
   captureHeartbeats(isIncluded: (machine: string) => boolean = () => true): {
     stop(): void;
@@ -270,7 +270,7 @@
   }
 }
 
-/** Answers a request to a controller, unless its process is killed meanwhile. */
+/** Handles a request to a controller; there is no response if its process is killed meanwhile. */
 async function serve(
   controller: ControllerProcess,
   routes: readonly Route[],
--- a/test/fakes/invariants-harness.ts
+++ b/test/fakes/invariants-harness.ts
@@ -1,4 +1,4 @@
-/** @file The invariants alone, for tests of the invariants themselves. */
+/** @file The invariants without a deployment, for tests of the invariants themselves. */
 import assert from 'node:assert/strict';
 import { FakeClock } from './clock';
 import { Invariants } from './invariants';
@@ -10,7 +10,7 @@
   ['m3', { type: 'm4', zone: 'b', isSpot: false }],
 ]);
 
-/** Invariants to which a test reports the requests of users, their answers, and what happens on machines. */
+/** Invariants to which a test reports users' requests, their responses, and task starts and ends. */
 export class InvariantsHarness {
   readonly clock = new FakeClock();
   readonly invariants = new Invariants(this.clock, {
@@ -23,7 +23,7 @@
     machine: (id) => MACHINES.get(id),
   });
 
-  /** A user's request; the function that is returned is to be called with its answer. */
+  /** Reports a user's request. Returns a function to call with the status and the job's state in the response. */
   request(method: string, path: string, body?: unknown): (status: number, state?: string) => void {
     const onResponse = this.invariants.onRequest({ from: 'user', to: 'node', method, path, body });
     return (status, state) => {
--- a/test/fakes/invariants.ts
+++ b/test/fakes/invariants.ts
@@ -1,4 +1,4 @@
-/** @file The invariants of the protocol, checked from outside the controllers throughout every scenario. */
+/** @file The invariants of the protocol, checked from outside the controllers throughout every simulated test. */
 import type { HttpResponse } from '../../src/transport/http-client';
 import { ResponseInvariants } from './response-invariants';
 import type { TimerClock } from './clock';
@@ -13,7 +13,7 @@
   readonly types: readonly MachineType[];
 }
 
-/** Checks what happens on machines, and every answer that a user gets. */
+/** Checks every task start and end on machines, and every response to a user. */
 export class Invariants {
   readonly #violations: Violations;
   readonly #jobs: ObservedJobs;
@@ -41,12 +41,12 @@
     return this.#violations.all;
   }
 
-  /** Reports a violation that was found elsewhere. */
+  /** Adds a violation that another check found. */
   report(kind: ViolationKind, what: string): void {
     this.#violations.report(kind, what);
   }
 
-  /** Starts after a confirmed cancellation that are no violation yet. */
+  /** Task starts after a confirmed cancellation but within its time limit: undesired, but no violation. */
   get startsAfterCancellation(): string[] {
     return this.#tasks.startsAfterCancellation;
   }
@@ -63,12 +63,12 @@
     this.#tasks.onCompleted(task);
   }
 
-  /** A user's request leaves; the function that is returned is to be called with its answer, when that arrives. */
+  /** Records that a user sent a request. Returns a function to call with the response when it arrives. */
   onRequest(request: Request): (answer: HttpResponse) => void {
     return this.#answers.onRequest(request);
   }
 
-  /** The machine that runs a task at this moment. */
+  /** The machine that currently runs a task. */
   machineOf(task: string): string | undefined {
     return this.#tasks.machineOf(task);
   }
@@ -86,17 +86,17 @@
     return this.#tasks.cpuLimit(team);
   }
 
-  /** Which constraint a job's next task would violate on this machine. */
+  /** The placement constraint that another task of the job would violate on this machine. */
   placementViolation(id: string, machine: string): string | undefined {
     return this.#tasks.placementViolation(id, machine);
   }
 
-  /** Jobs that were accepted, are not final, and of which neither they nor a dependency was asked to be cancelled. */
+  /** Accepted jobs without a final state that no user's request (for the job or a dependency) may have cancelled. */
   get unfinishedJobs(): string[] {
     return this.#jobs.unfinished;
   }
 
-  /** Every job that some answer said is known. */
+  /** Jobs whose acceptance a response confirmed. */
   get acceptedJobs(): string[] {
     return this.#jobs.accepted;
   }
@@ -105,7 +105,6 @@
     return this.#jobs.get(id)?.submission;
   }
 
-  /** Whether all dependencies of the job are done. */
   areDependenciesDone(id: string): boolean {
     return this.#jobs.dependencies.unfinishedDependency(id) === undefined;
   }
@@ -114,7 +113,7 @@
     return this.#jobs.get(id)?.isCancelRequested ?? false;
   }
 
-  /** The final state that was answered. */
+  /** The first final state that a response reported. */
   finalState(id: string): string | undefined {
     return this.#jobs.get(id)?.final?.state;
   }
@@ -123,12 +122,12 @@
     return this.#jobs.hasCompleted(task);
   }
 
-  /** When a user last got an answer that knows the job; from its first submission on. */
+  /** When a user last received a successful response about the job; initially when the job was first named. */
   lastResponseAt(id: string): number {
     return this.#jobs.get(id)?.lastResponseAt ?? this.clock.now();
   }
 
-  /** Why a submission may not be accepted. */
+  /** Why a submission must be rejected; undefined if it may be accepted. */
   rejectionReason(body: unknown): string | undefined {
     return this.#submissions.rejectionReason(body);
   }
--- a/test/fakes/key-value-store.ts
+++ b/test/fakes/key-value-store.ts
@@ -1,4 +1,4 @@
-/** @file The key-value store by its published protocol, in memory, with faults and limits. */
+/** @file A fake key-value store in memory that speaks its published protocol, with faults and limits. */
 import type { HttpResponse } from '../../src/transport/http-client';
 import type { TimerClock } from './clock';
 import type { Request } from './network';
@@ -21,20 +21,20 @@
   apply: { set?: string; delete?: string; data?: unknown; hold?: number }[];
 }
 
-/** Limits that the service enforces; sizes are counted as JSON text. */
+/** Limits that the store enforces; sizes are those of the JSON text. */
 export interface EnforcedLimits {
   valueKb: number;
   txnOps: number;
   writeRps: number;
 }
 
-/** The protocol's own limits: bytes of a transaction, and conditions for each change allowed. */
+/** Fixed limits of the protocol: bytes of a transaction, and its conditions per allowed change. */
 const MAX_TXN_BYTES = 64 * 1024;
 const GUARDS_PER_CHANGE = 4;
 
 /**
- * What becomes of a request besides being answered: it gets no answer and is carried out that much later, after newer
- * ones; only its answer is lost; its answer comes that much later; it is refused.
+ * A fault of a request. `lateMs`: it gets no response and is executed only after this time, after newer requests.
+ * `slowMs`: its response is delayed. 'lose answer': it is executed, but its response is lost. 'refuse': it gets 503.
  */
 export type StoreFault = { lateMs: number } | 'lose answer' | { slowMs: number } | 'refuse';
 
@@ -42,7 +42,7 @@
 
 const noAnswer = (): Promise<HttpResponse> => new Promise(() => undefined);
 
-/** The state service by its published protocol, in memory. */
+/** A key-value store in memory with revisions, leases (`grants`), transactions, watches and injected faults. */
 export class FakeKeyValueStore {
   readonly data = new Map<string, StoredEntry>();
   readonly #grants = new Map<number, { ttlMs: number; endsAt: number }>();
@@ -50,25 +50,25 @@
   #watchers: (() => void)[] = [];
   #nextGrant = 1;
   revision = 0;
-  /** Senders that get 503; `*` for all. */
+  /** Senders whose requests get 503; `*` stands for all senders. */
   readonly refused = new Set<string>();
   #rules: ((request: Request) => StoreFault | undefined)[] = [];
   /** Bytes of the largest value ever written, as JSON. */
   largestValue = 0;
   /** Changes of the largest transaction. */
   largestTransaction = 0;
-  /** Enforced from the moment that they are set; none before. */
+  /** Enforced from the moment that a test sets them; no limits until then. */
   limits: EnforcedLimits | undefined;
-  /** Why transactions were refused for their size, and who sent them. */
+  /** Sender and reason of each transaction that was rejected for its size. */
   readonly oversizedTransactions: string[] = [];
-  /** How many transactions were refused for the rate of changes. */
+  /** Number of transactions that the limit on the rate of changes rejected. */
   rejectedByRateLimit = 0;
   #writeTokens = 0;
   #tokensRefilledAt = -Infinity;
 
   constructor(private readonly clock: TimerClock) {}
 
-  /** An outage for everybody; afterwards every grant has its full time again. */
+  /** Starts or ends an outage for all senders. When it ends, every lease has its full duration again. */
   outage(on: boolean): void {
     if (on) this.refused.add('*');
     else {
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Adds a rule that injects faults into requests; the function that is returned removes it. */
+  /** Adds a rule that injects faults into requests. Returns a function that removes the rule. */
   rule(rule: (request: Request) => StoreFault | undefined): () => void {
     this.#rules.push(rule);
     return () => {
@@ -94,7 +94,7 @@
       return noAnswer();
     }
     if ('lateMs' in fault) {
-      // By the conditions, leases and outages of that moment.
+      // Conditions, leases and outages count as they are at the time of execution.
       this.clock.after(fault.lateMs, () => void this.#execute(request));
       return noAnswer();
     }
@@ -160,7 +160,7 @@
     for (const wake of watchers) wake();
   }
 
-  /** Why a transaction is larger than the limits allow. */
+  /** How a transaction exceeds the size limits; undefined if it doesn't. */
   #sizeViolation({ guards, apply }: Txn): string | undefined {
     if (!this.limits) return undefined;
     const { valueKb, txnOps } = this.limits;
@@ -171,7 +171,7 @@
     return large && `${large.set} has ${jsonBytes(large.data)} bytes`;
   }
 
-  /** Takes the changes from what the rate allows; false when that is less. */
+  /** Takes one token of the write rate limit per change; false if there are too few tokens. */
   #consumeWriteTokens(count: number): boolean {
     if (!this.limits || count === 0) return true;
     const { writeRps } = this.limits;
@@ -190,7 +190,7 @@
       this.oversizedTransactions.push(`${from}: ${violation}`);
       return { status: 400, body: { error: violation } };
     }
-    // Also those whose conditions fail are counted.
+    // Transactions whose conditions fail count against the rate limit, too.
     if (!this.#consumeWriteTokens(apply.length)) {
       this.rejectedByRateLimit += 1;
       return { status: 429, body: null };
--- a/test/fakes/machine-clock.ts
+++ b/test/fakes/machine-clock.ts
@@ -1,13 +1,13 @@
-/** @file The time of a machine, which stops while the machine hangs. */
+/** @file The clock of a machine, which stops while the machine hangs. */
 import type { TimerClock } from './clock';
 
-/** Timers of a machine, and what waits until it resumes after a hang. */
+/** Timers of a machine, and a queue of the callbacks that run when it resumes after a hang. */
 export class MachineClock {
   #isHanging = false;
   #hungAt = 0;
-  /** How long it has hung before the present hang, if any. */
+  /** Total duration of earlier hangs. */
   #hungMs = 0;
-  /** What continues when it resumes, in order. */
+  /** Callbacks to run after the machine resumes, in order. */
   #onResume: (() => void)[] = [];
 
   constructor(private readonly clock: TimerClock) {}
@@ -21,7 +21,7 @@
     this.#isHanging = true;
   }
 
-  /** Lets time pass again; what has waited continues only with `runQueued`. */
+  /** Ends the hang. Queued callbacks run only when `runQueued` is called. */
   resume(): void {
     this.#hungMs += this.clock.now() - this.#hungAt;
     this.#isHanging = false;
@@ -33,17 +33,17 @@
     for (const proceed of queued) proceed();
   }
 
-  /** Drops what has waited. */
+  /** Drops the queued callbacks. */
   clear(): void {
     this.#onResume = [];
   }
 
-  /** Queues what continues when the machine resumes. */
+  /** Queues a callback to run after the machine resumes. */
   onResume(proceed: () => void): void {
     this.#onResume.push(proceed);
   }
 
-  /** A timer in the machine's own time. */
+  /** Sets a timer that doesn't count the time of hangs. */
   after(ms: number, fire: () => void): void {
     const hungBefore = this.#hungMs;
     this.clock.after(ms, () => {
--- a/test/fakes/network.ts
+++ b/test/fakes/network.ts
@@ -1,4 +1,4 @@
-/** @file The network in memory, with the faults of a real one. */
+/** @file A fake network in memory, with the faults of a real one. */
 import { NoResponseError, type HttpResponse, type HttpCaller } from '../../src/transport/http-client';
 import type { FakeClock } from './clock';
 
@@ -11,24 +11,24 @@
 }
 
 /**
- * What the network does to a request; `hold` delivers it when the scenario releases it, `copy` delivers it at once and a
- * copy of it then.
+ * How the network handles a request. 'hold' delivers it when the test calls `releaseHeld`, and drops the response. 'copy'
+ * delivers it at once, and a duplicate on `releaseHeld`. 'lose answer' delivers it and drops the response.
  */
 export type DeliveryMode = 'deliver' | 'unreachable' | 'lose' | 'lose answer' | 'hold' | 'copy';
-/** A message that crosses the network; the number of a request is that of its answer. */
+/** A message that crosses the network; a request and its response have the same number. */
 export type Message =
   | { kind: 'request'; number: number; request: Request }
   | { kind: 'answer'; number: number; answer: HttpResponse }
   | { kind: 'peer message sent'; from: string; bytes: Uint8Array }
   | { kind: 'peer message received'; from: string; to: string; bytes: Uint8Array };
 /**
- * Called for every message, with the simulated time: requests and peer messages when they leave, even if they get lost;
- * answers and peer messages when they arrive.
+ * Called for every message, with the simulated time. Requests and peer messages are reported when they are sent, even if
+ * they get lost; responses and received peer messages when they arrive.
  */
 export type Observer = (message: Message, at: number) => void;
 export type RequestHandler = (request: Request) => HttpResponse | Promise<HttpResponse>;
 
-/** What a worker's stand-in needs of a network: this one, or the loopback under load. */
+/** The part of a network that a fake worker uses: this one, or the loopback interface in load tests. */
 export interface Network {
   attach(address: string, host: RequestHandler): void;
   detach(address: string): void;
@@ -37,7 +37,7 @@
 
 const LATENCY_MS = 1;
 
-/** An in-memory network with the faults of a real one. */
+/** A network that delivers requests to handlers by address; rules inject faults. */
 export class FakeNetwork implements Network {
   readonly #hosts = new Map<string, RequestHandler>();
   #rules: ((request: Request) => DeliveryMode | undefined)[] = [];
@@ -56,7 +56,7 @@
     this.#hosts.delete(address);
   }
 
-  /** Adds a rule; the function that is returned removes it. */
+  /** Adds a rule that chooses how requests are handled. Returns a function that removes the rule. */
   rule(rule: (request: Request) => DeliveryMode | undefined): () => void {
     this.#rules.push(rule);
     return () => {
@@ -64,22 +64,22 @@
     };
   }
 
-  /** Sees every request when it leaves, and its answer when its sender gets it. */
+  /** Calls the function for every request when it is sent, and the function it returns with the delivered response. */
   watchRequests(watch: (request: Request) => (answer: HttpResponse) => void): void {
     this.#onRequest = watch;
   }
 
-  /** Reports every message that crosses the network from now on. */
+  /** Sets the observer that every message from now on is reported to. */
   observe(observer: Observer): void {
     this.#observer = observer;
   }
 
-  /** Reports a message to the observer, if any; the links between controllers report theirs here. */
+  /** Reports a message to the observer, if any. The deployment reports peer messages here. */
   report(message: Message): void {
     this.#observer?.(message, this.clock.now());
   }
 
-  /** Delivers what was held, in order, though its senders have long given up. */
+  /** Delivers the held requests in order, even if their senders have timed out. Returns their number. */
   releaseHeld(): number {
     const held = this.#held;
     this.#held = [];
@@ -108,12 +108,12 @@
       });
       if (!host || mode === 'unreachable' || mode === 'lose') return;
       const deliver = (): void => {
-        // Nothing reaches who is gone, nor who came up at the same address since.
+        // Requests to a host that has gone don't reach a host that was attached at the same address later.
         if (this.#hosts.get(request.to) !== host) return;
         void Promise.resolve(host(structuredClone(request))).then((answer) => {
           if (mode === 'hold' || mode === 'lose answer') return;
           this.clock.after(LATENCY_MS, () => {
-            // A sender that has given up gets no answer, and none to a copy either.
+            // The sender has timed out, or has already received the response to the other copy.
             if (isSettled) return;
             isSettled = true;
             this.clock.cancel(timer);
--- a/test/fakes/observed-jobs.ts
+++ b/test/fakes/observed-jobs.ts
@@ -1,19 +1,19 @@
-/** @file What the invariants know of each job, from users' requests and answers and from tasks on machines. */
+/** @file What the invariants know about each job, from users' requests and responses and from tasks on machines. */
 import type { TimerClock } from './clock';
 import { DependencyModel } from './dependency-model';
 import type { Submission } from './submission-model';
 
-/** A job as users and machines saw it. */
+/** A job as observed by users and machines. */
 export interface ObservedJob {
-  /** What its user submitted first; undefined: no submission that can run was sent. */
+  /** The first valid submission; undefined while there is none. */
   submission: Submission | undefined;
   readonly completed: Set<number>;
-  /** The order of the first answer that said that it is known. */
+  /** The sequence number of the first response that confirmed the acceptance of the job. */
   acceptedOrder: number | undefined;
-  /** The first final state that was answered, and the order of that answer. */
+  /** The first final state that a response reported, and the sequence number of that response. */
   final: { state: string; order: number } | undefined;
   isCancelRequested: boolean;
-  /** When it was first answered that it is cancelled. */
+  /** When a response first reported that the job is cancelled. */
   cancelledAt: number | undefined;
   lastResponseAt: number;
   hasStarted: boolean;
@@ -25,7 +25,7 @@
 /** The number of a task in its job. */
 export const taskNumberOf = (task: string): number => Number(task.split('/')[1]);
 
-/** All jobs that users named. */
+/** All jobs that users' requests named. */
 export class ObservedJobs {
   readonly #jobs = new Map<string, ObservedJob>();
   readonly dependencies = new DependencyModel(this.#jobs);
@@ -36,7 +36,6 @@
     return this.#jobs.get(id);
   }
 
-  /** The job, which is known from now on. */
   getOrAdd(id: string): ObservedJob {
     const existing = this.#jobs.get(id);
     if (existing) return existing;
@@ -54,7 +53,7 @@
     return job;
   }
 
-  /** Keeps a submission that can run, if it is the first of its job. */
+  /** Records a valid submission if it is the first one of its job. */
   recordSubmission(id: string, submission: Submission): void {
     const job = this.getOrAdd(id);
     if (job.submission) return;
@@ -62,12 +61,12 @@
     this.dependencies.add(id);
   }
 
-  /** Every job that some answer said is known. */
+  /** Jobs whose acceptance a response confirmed. */
   get accepted(): string[] {
     return [...this.#jobs].filter(([, job]) => job.acceptedOrder !== undefined).map(([id]) => id);
   }
 
-  /** Jobs that were accepted, are not final, and of which neither they nor a dependency was asked to be cancelled. */
+  /** Accepted jobs without a final state that no user's request (for the job or a dependency) may have cancelled. */
   get unfinished(): string[] {
     return this.accepted
       .filter((id) => this.#jobs.get(id)?.final === undefined)
--- a/test/fakes/ownership-history.ts
+++ b/test/fakes/ownership-history.ts
@@ -1,12 +1,12 @@
-/** @file A history of who owned which shard under which token, of orphaned jobs, and the checker of such a history. */
+/** @file The history of shard ownership, fencing tokens and orphaned jobs, and the checker of such a history. */
 
-/** From when to when a controller had the right to act for a shard under one token. Times in milliseconds. */
+/** The time during which a controller held a valid lease of a shard under one fencing token. Times in milliseconds. */
 export interface OwnershipInterval {
   readonly shard: number;
   readonly controller: string;
   readonly token: number;
   readonly from: number;
-  /** The last moment at which it was seen to have that right. */
+  /** The last time at which the lease was observed to be valid. */
   to: number;
 }
 
@@ -14,23 +14,23 @@
 export interface OrphanedJob {
   readonly job: string;
   readonly orphanedAt: number;
-  /** When a running controller was first seen to own it again, or it had ended. */
+  /** When a running controller was first observed to own the job, or the job to have ended. */
   reassignedAt: number | undefined;
 }
 
-/** Something that left a controller which had no right to act for the shard. */
+/** A request that a controller sent without a valid lease of a shard. */
 export interface UnauthorizedRequest {
   readonly controller: string;
   readonly what: string;
   readonly at: number;
 }
 
-/** What happened to the ownership of shards. */
+/** The observed ownership of shards during a test. */
 export interface OwnershipHistory {
   readonly intervals: readonly OwnershipInterval[];
   readonly orphans: readonly OrphanedJob[];
   readonly effects: readonly UnauthorizedRequest[];
-  /** When the history ends. */
+  /** When the recording ended. */
   readonly endedAt: number;
 }
 
@@ -40,10 +40,10 @@
   readonly detail: string;
 }
 
-/** An orphaned job has a running owner again after this time at the latest. */
+/** Longest time until an orphaned job must have a running owner again. */
 export const REASSIGN_WITHIN_MS = 30_000;
 
-/** Whether two intervals of different controllers have a moment in common. */
+/** Whether the intervals belong to different controllers and overlap in time. */
 function overlap(a: OwnershipInterval, b: OwnershipInterval): boolean {
   return a.controller !== b.controller && a.from <= b.to && b.from <= a.to;
 }
@@ -81,7 +81,7 @@
   };
 }
 
-/** The invariants that a history violates: one owner at a time, tokens that rise, orphans reassigned, no act without right. */
+/** Violations of: one owner at a time, increasing tokens, orphaned jobs reassigned, no requests without a valid lease. */
 export function checkOwnership(history: OwnershipHistory): OwnershipViolation[] {
   const late = history.orphans.flatMap((orphan) => checkOrphan(orphan, history.endedAt) ?? []);
   const effects = history.effects.map(({ controller, what, at }) => {
@@ -97,7 +97,7 @@
   );
 }
 
-/** How often a shard went from one controller to another. */
+/** How many times a shard's ownership changed from one controller to another. */
 export function moveCount({ intervals }: OwnershipHistory): number {
   const sorted = [...intervals].sort((a, b) => a.from - b.from);
   return sorted.filter((later, index) => {
--- a/test/fakes/ownership-recorder.ts
+++ b/test/fakes/ownership-recorder.ts
@@ -1,4 +1,4 @@
-/** @file Records the ownership of shards in the in-memory deployment. */
+/** @file Records the ownership of shards in the simulated deployment. */
 import { KEY, read } from '../../src/bookkeeping/records';
 import type { ControllerProcess } from './deployment';
 import type { Request } from './network';
@@ -12,14 +12,14 @@
 
 const SAMPLE_MS = 10;
 
-/** Requests that only the owner of a shard may send. */
+/** Whether only the owner of a shard may send this request. */
 function requiresOwnership({ method, path }: Request): boolean {
   return path === '/do' || (method === 'POST' && path.startsWith('/hosts'));
 }
 
 /**
- * Looks at every controller every few milliseconds, and at every request that leaves one. A controller that is frozen
- * is looked at too: what it would be allowed to do at this moment counts, since it may resume at this moment.
+ * Samples every controller's ownership every few milliseconds, and checks every request that a controller sends. Frozen
+ * controllers are sampled too: one with a valid lease counts as owner, since it could resume and act at any moment.
  */
 export class OwnershipRecorder {
   readonly #intervals: OwnershipInterval[] = [];
@@ -37,7 +37,7 @@
     this.#sample();
   }
 
-  /** The controller failed: jobs of its shards that are not over are orphaned from now on. */
+  /** Records that a controller failed: the unfinished jobs of its shards are orphaned from now on. */
   recordControllerFailure(index: number): void {
     const now = this.cluster.clock.now();
     for (const owner of this.cluster.controllers[index]?.controller.owners.values() ?? []) {
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Ends the recording. */
+  /** Ends the recording and returns the history. */
   finish(): OwnershipHistory {
     this.#sampleOnce();
     this.#isStopped = true;
@@ -86,7 +86,7 @@
         continue;
       }
       const current = this.#currentIntervals.get(key);
-      // A raise of the token is the same ownership; one that was acquired anew has an interval of its own.
+      // A higher token alone continues the interval; a shard that is acquired again gets a new interval.
       if (current && now - current.to <= 2 * SAMPLE_MS) {
         current.to = now;
         continue;
@@ -97,7 +97,7 @@
     }
   }
 
-  /** The token under which a shard is owned, by the state service's word. */
+  /** The shard's current fencing token, according to its lease record in the store. */
   #tokenOf(shard: number): number {
     return read.lease(this.cluster.store.data.get(KEY.lease(shard))?.data)?.token ?? 0;
   }
--- a/test/fakes/response-invariants.ts
+++ b/test/fakes/response-invariants.ts
@@ -1,4 +1,4 @@
-/** @file Invariants of the answers that users get: nothing is forgotten, invented or taken back. */
+/** @file Invariants of the responses to users: no accepted job is lost, none is invented, no final state changes. */
 import type { HttpResponse } from '../../src/transport/http-client';
 import type { TimerClock } from './clock';
 import type { Request } from './network';
@@ -11,20 +11,20 @@
 const DONE = 'done';
 const CANCELLED = 'withdrawn';
 
-/** A user's request, for what its answer may say. */
+/** A user's request, as needed to check its response. */
 interface SentRequest {
-  /** Its method and path. */
+  /** Method and path. */
   readonly description: string;
   readonly order: number;
   readonly at: number;
-  /** Whether 400 and 422 are right even for a job that is known. */
+  /** Whether 400 and 422 are valid responses even if the job was accepted before. */
   readonly isRejectionAllowed: boolean;
 }
 
-/** What the answers are checked with. */
+/** The observed state and the models that the responses are checked against. */
 export interface ResponseInvariantsContext {
   readonly clock: TimerClock;
-  /** Seconds that jobs may go on after they or a dependency were cancelled. */
+  /** Seconds that a job may still be pending or running after its or a dependency's cancellation was confirmed. */
   readonly cancelS: number;
   readonly jobs: ObservedJobs;
   readonly submissions: SubmissionModel;
@@ -35,15 +35,15 @@
 const isSuccess = ({ status }: HttpResponse): boolean => status === 200 || status === 201;
 
 /**
- * Checks every answer that a user gets. An answer counts from when it arrives, a request from when it was sent: only an
- * answer to a request that was sent after another answer had arrived can contradict that one.
+ * Checks every response that a user receives. A response can contradict an earlier one only if its request was sent
+ * after the earlier response had arrived; otherwise controllers may have handled the requests in the other order.
  */
 export class ResponseInvariants {
   #order = 0;
 
   constructor(private readonly context: ResponseInvariantsContext) {}
 
-  /** A user's request leaves; the function that is returned is to be called with its answer, when that arrives. */
+  /** Records that a user sent a request. Returns a function to call with the response when it arrives. */
   onRequest(request: Request): (response: HttpResponse) => void {
     this.#order += 1;
     const [, head = '', id = '', verb = ''] = request.path.split('/');
@@ -79,7 +79,7 @@
     }
     jobs.getOrAdd(id);
     if (rejection === undefined) jobs.recordSubmission(id, body as Submission);
-    // A job that was accepted is known, whatever the dependencies in a repetition of its submission.
+    // Once a job is accepted, a resubmission must succeed even if it names other dependencies.
     const isRejectionAllowed = submissions.rejectionReasonIgnoringDependencies(body) !== undefined;
     const sent = this.#sent(request, isRejectionAllowed);
     const areDependenciesAccepted =
@@ -88,13 +88,13 @@
       this.#order += 1;
       this.#checkAcceptance(id, response, rejection);
       if (response.status === 422 && areDependenciesAccepted) {
-        violations.report('forgotten', `${id} gets 422, though all that it names is known`);
+        violations.report('forgotten', `${id} gets 422, though all its dependencies were accepted`);
       }
       this.#check(id, response, sent);
     };
   }
 
-  /** Whether a submission names jobs, all of which were accepted by the answers to their users. */
+  /** Whether a submission has dependencies, and responses confirmed the acceptance of all of them. */
   #dependsOnlyOnAccepted({ awaits }: Submission): boolean {
     if (!awaits || awaits.length === 0) return false;
     return awaits.every((id) => this.context.jobs.get(id)?.acceptedOrder !== undefined);
@@ -136,7 +136,7 @@
   #checkState(id: string, job: ObservedJob, state: string, sent: SentRequest): void {
     if (state === DONE) this.#checkDone(id, job);
     if (state === CANCELLED) this.#checkCancelled(id);
-    if (state === 'running') this.context.tasks.checkDependencies(id, `${id} is called running`);
+    if (state === 'running') this.context.tasks.checkDependencies(id, `${id} is reported as running`);
     if (state === 'pending' || state === 'running') this.#checkOrphaned(id, state, sent);
   }
 
@@ -150,7 +150,7 @@
   #checkFinal(id: string, job: ObservedJob, state: string, sent: SentRequest): void {
     const isFinal = state === DONE || state === CANCELLED;
     const { final } = job;
-    // Of two final states one is wrong, whichever request was sent first.
+    // Two different final states are a violation in any order of the requests.
     if (final && final.state !== state && (isFinal || final.order < sent.order)) {
       this.context.violations.report('went_back', `${id}: ${final.state}, then ${state}`);
     }
@@ -162,7 +162,10 @@
 
   #checkCancelled(id: string): void {
     if (this.context.jobs.dependencies.isCancellationAllowed(id)) return;
-    this.context.violations.report('went_back', `${id} is withdrawn, though nobody asked for that`);
+    this.context.violations.report(
+      'went_back',
+      `${id} is withdrawn, though no user cancelled it or a dependency`,
+    );
   }
 
   #checkOrphaned(id: string, state: string, sent: SentRequest): void {
@@ -172,11 +175,11 @@
     const lateMs = sent.at - cancelledAt;
     violations.report(
       'orphaned',
-      `${id} is ${state} by ${sent.description} ${lateMs} ms after a job before it was cancelled`,
+      `${id} is ${state} by ${sent.description} ${lateMs} ms after a dependency was cancelled`,
     );
   }
 
-  /** The dependents of a job that is done can't have been cancelled with it. */
+  /** Checks the cancelled dependents of a job that is done: its own cancellation can't be the reason for theirs. */
   #onDone(id: string): void {
     const { jobs } = this.context;
     for (const dependent of jobs.dependencies.descendants(id)) {
--- a/test/fakes/retrying-users.ts
+++ b/test/fakes/retrying-users.ts
@@ -1,4 +1,4 @@
-/** @file Users who submit jobs as the protocol has it: they follow `Retry-After`, and give up after a minute. */
+/** @file Users who submit jobs as the protocol demands: they honor `retryAfterS`, and give up after a minute. */
 import type { HttpResponse } from '../../src/transport/http-client';
 import { submission } from './submission';
 import type { SimulatedCluster } from './simulated-cluster';
@@ -8,12 +8,11 @@
 const RETRY_FOR_MS = 60_000;
 const MIN_RETRY_INTERVAL_MS = 1_000;
 
-/** What became of a submission. */
+/** The progress and result of a submission. */
 export interface SubmissionOutcome {
   readonly id: string;
   readonly jobClass: string;
   readonly team: string;
-  /** CPU seconds. */
   readonly cpuSeconds: number;
   readonly submittedAt: number;
   acceptedAt: number | undefined;
@@ -21,7 +20,7 @@
   isFinished: boolean;
 }
 
-/** A kind of job that arrives at a steady rate. */
+/** Similar jobs that are submitted at a constant rate. */
 export interface JobStream {
   readonly jobClass: string;
   readonly team: string;
@@ -29,11 +28,11 @@
   readonly tasks: number;
   /** The user's estimate of a task's run time. */
   readonly estimateS: number;
-  /** How long a task really runs. */
+  /** The actual run time of a task; the estimate by default. */
   readonly runS?: number;
 }
 
-/** Submits jobs to the controllers in turn, any number of them at the same time. */
+/** Submits jobs to the controllers in rotation; submissions run concurrently. */
 export class RetryingUsers {
   readonly outcomes: SubmissionOutcome[] = [];
   #lastNumber: number;
@@ -41,13 +40,13 @@
   constructor(
     private readonly cluster: SimulatedCluster,
     private readonly retryForMs = RETRY_FOR_MS,
-    /** Numbers of jobs begin above this one, so that several users of one cluster have jobs of their own. */
+    /** Job numbers start after this one, so that several instances can share a cluster without equal job ids. */
     lastNumber = 0,
   ) {
     this.#lastNumber = lastNumber;
   }
 
-  /** Submits a job; the result is in `outcomes`, and complete when `isOver`. */
+  /** Submits a job with retries. The outcome is also in `outcomes`; it is complete once `isFinished` is true. */
   submit(
     jobClass: string,
     team: string,
@@ -74,7 +73,7 @@
     return outcome;
   }
 
-  /** Lets jobs arrive evenly until a steady time. */
+  /** Submits jobs at a constant rate until a time of the simulated clock. */
   startJobStream(stream: JobStream, until: number): void {
     const intervalMs = 60_000 / stream.perMinute;
     const { clock } = this.cluster;
@@ -86,7 +85,7 @@
     clock.after(intervalMs, next);
   }
 
-  /** One submission at one controller. */
+  /** Sends one submission to one controller, without retries. */
   submitOnce(index: number, body: unknown): Promise<HttpResponse> {
     const address = this.cluster.controllers[index]?.address ?? '';
     return this.cluster.network.caller(USER).call(address, 'POST', '/work', body, TIMEOUT_MS);
--- a/test/fakes/scripted-watch.ts
+++ b/test/fakes/scripted-watch.ts
@@ -1,9 +1,9 @@
-/** @file A watched copy of records whose changes a test scripts. */
+/** @file A watch cache whose change events a test scripts. */
 import { WatchCache } from '../../src/bookkeeping/watch-cache';
 import type { ChangeEvent, KeyValueStore } from '../../src/protocol/key-value-store';
 import { FakeClock } from './clock';
 
-/** A state service that has what the test says, and a copy of it with no pause between watches. */
+/** A store that returns the revision and events that the test sets, and a watch cache without pauses between watches. */
 export class ScriptedWatch {
   events: ChangeEvent[] = [];
   revision = 0;
--- a/test/fakes/simulated-cluster.ts
+++ b/test/fakes/simulated-cluster.ts
@@ -1,4 +1,4 @@
-/** @file A whole deployment in memory with its users and machines, checked by the invariants of the protocol. */
+/** @file A simulated deployment with users and machines, checked against the invariants of the protocol. */
 import assert from 'node:assert/strict';
 import type { HttpResponse } from '../../src/transport/http-client';
 import { FakeCloud, MACHINE_TYPE } from './cloud';
@@ -21,13 +21,13 @@
 
 export { CANCEL_S };
 
-/** The sender whose answers the invariants check. */
+/** The sender whose requests and responses the invariants check. */
 const USER = 'user';
 const MAX_UNANSWERED_MS = 75_000;
 
 const nothing = (): void => undefined;
 
-/** A whole deployment in memory: controllers, state service, cloud and workers, with the invariants checked throughout. */
+/** A simulated deployment: controllers, key-value store, cloud and workers. The invariants are checked throughout. */
 export class SimulatedCluster extends Deployment {
   readonly invariants: Invariants;
   readonly cloud = new FakeCloud({
@@ -37,7 +37,7 @@
   });
   bootMs = 3000;
   readonly #jobProfiles = new Map<string, JobProfile>();
-  /** How long tasks really run, where that is not what their user reckons. */
+  /** Actual run times of tasks by job, where they differ from the user's estimate. */
   readonly #runTimes = new Map<string, number>();
   /** Called for every task that starts. */
   onTaskStarted: (task: string) => void = nothing;
@@ -69,7 +69,7 @@
     }
   }
 
-  /** How many machines the cloud still has to rent. */
+  /** How many more machines the cloud can rent out. */
   get capacity(): number {
     return this.cloud.capacity;
   }
@@ -91,7 +91,7 @@
     return response;
   }
 
-  /** Users upload a job's description themselves, for the workers to fetch. */
+  /** Keeps a submitted job's profile for the fake workers; real workers fetch job descriptions that users upload. */
   #recordJobProfile({ method, path, body }: Request): void {
     if (method !== 'POST' || path !== '/work' || this.invariants.rejectionReason(body) !== undefined) return;
     const job = body as Record<'nameId', string> &
@@ -106,12 +106,12 @@
     });
   }
 
-  /** Sets how long a job's tasks will run; to be called before it is submitted. */
+  /** Sets how long a job's tasks will run. Must be called before the job is submitted. */
   setRunTime(id: string, runS: number): void {
     this.#runTimes.set(id, runS);
   }
 
-  /** Submits a job and has it accepted; what a real user would do on 503 is done here too. */
+  /** Submits a job and retries, as users do on 503, until it is accepted. */
   async submit(id: string, fields: Record<string, unknown> = {}, runS = 5, index = 0): Promise<void> {
     const job = submission(id, fields);
     this.setRunTime(id, runS);
@@ -148,14 +148,14 @@
     assert.equal(await this.jobState(id, index), state, `${id} after ${limitS} s`);
   }
 
-  /** Lets time pass until a condition holds. */
+  /** Advances the time until a condition holds; fails if it doesn't within the limit. */
   async until(description: string, condition: () => boolean, limitS = 120): Promise<void> {
     const end = this.clock.now() + limitS * 1000;
     while (!condition() && this.clock.now() < end) await this.clock.advance(50);
     assert.ok(condition(), `${description}: not within ${limitS} s`);
   }
 
-  /** The machine that runs a task at this moment. */
+  /** The machine that currently runs a task. */
   machineOf(task: string): string | undefined {
     return this.invariants.machineOf(task);
   }
@@ -169,8 +169,8 @@
   }
 
   /**
-   * For when all faults are over: lets time pass until every accepted job that wasn't cancelled is final, and fails
-   * when one waits for 90 s while there is room for it, or gets no answer for 75 s.
+   * To be called after all faults have ended: advances the time until every accepted job is final, unless cancelled.
+   * Fails if a job is pending for 90 s despite free capacity, or if users get no successful response about it for 75 s.
    */
   async assertJobsFinish(limitS = 100): Promise<void> {
     const detector = new StarvationDetector(this.invariants, this.clock, {
@@ -186,7 +186,7 @@
       for (const id of this.invariants.unfinishedJobs) {
         const unansweredMs = this.clock.now() - Math.max(startedAt, this.invariants.lastResponseAt(id));
         if (unansweredMs > MAX_UNANSWERED_MS)
-          this.invariants.report('forgotten', `${id} got no answer for ${unansweredMs} ms`);
+          this.invariants.report('forgotten', `${id} got no response for ${unansweredMs} ms`);
         if (second % 5 === 0) await this.#poll(id, (second / 5) % 3);
       }
       await this.clock.advance(1000);
@@ -201,7 +201,7 @@
     await this.clock.advance(20);
   }
 
-  /** Whether a machine that fits has room for the next task of a job. */
+  /** Whether a healthy machine that satisfies the job's constraints has free CPUs for its next task. */
   #hasFreeCapacity(id: string): boolean {
     const cpus = this.#jobProfiles.get(id)?.cpus ?? 0;
     return [...this.workers.values()].some(
@@ -214,7 +214,7 @@
     );
   }
 
-  /** A machine that boots, whoever asked for it. */
+  /** Adds a machine that boots and then starts its worker. Tests can add machines that no controller rented. */
   addWorker(zone = 'a', isSpot = true): string {
     this.#machineCount += 1;
     const id = `host-${String(this.#machineCount).padStart(6, '0')}`;
--- a/test/fakes/starvation-detector.ts
+++ b/test/fakes/starvation-detector.ts
@@ -1,22 +1,22 @@
-/** @file Finds jobs that wait though they could run. */
+/** @file Detects jobs that stay pending although there is free capacity for them. */
 import type { TimerClock } from './clock';
 import type { Invariants } from './invariants';
 
-/** How long a job may wait while there is room for it. */
+/** How long a job may be pending while there is free capacity for it. */
 const MAX_WAIT_MS = 90_000;
 
-/** How long each unfinished job has waited while something could have been done for it. */
+/** Measures how long each unfinished job has had a pending task that could have started. */
 export class StarvationDetector {
   readonly #waitingSince = new Map<string, number>();
 
   constructor(
     private readonly invariants: Invariants,
     private readonly clock: TimerClock,
-    /** Machines with room for this job's next task, and whether this task is on its way on one of them. */
+    /** Whether a machine has free capacity for a job's next task, and whether a machine is starting a task. */
     private readonly cluster: { hasFreeCapacity(id: string): boolean; isStarting(task: string): boolean },
   ) {}
 
-  /** To be called about once a second while no fault is active. */
+  /** Must be called about once a second while no fault is active. */
   check(): void {
     const now = this.clock.now();
     const unfinished = new Set(this.invariants.unfinishedJobs);
@@ -38,7 +38,7 @@
       else if (!this.#waitingSince.has(id)) this.#waitingSince.set(id, now);
       const since = this.#waitingSince.get(id);
       if (since !== undefined && now - since > MAX_WAIT_MS) {
-        this.invariants.report('waits', `${id} waits for ${now - since} ms though there is room`);
+        this.invariants.report('waits', `${id} waits for ${now - since} ms despite free capacity`);
         this.#waitingSince.set(id, Infinity);
       }
     }
--- a/test/fakes/submission-model.ts
+++ b/test/fakes/submission-model.ts
@@ -1,6 +1,6 @@
-/** @file Which submissions controllers may accept, as the protocol says it. */
+/** @file A model of the protocol's rules for which submissions controllers may accept. */
 
-/** A job as its user described it, in the words of the wire, as far as the invariants need it. */
+/** A submission with its wire fields, as far as the invariants need them. */
 export interface Submission {
   crew: string;
   pieces: number;
@@ -12,7 +12,7 @@
   together: boolean;
   apart: boolean;
   loaners: boolean;
-  /** Jobs that have to be done before any of its tasks starts. */
+  /** Ids of the job's dependencies, which must be done before any of its tasks starts. */
   awaits?: readonly string[] | null;
 }
 
@@ -57,19 +57,19 @@
   return typeof value === 'boolean';
 }
 
-/** Judges submissions by the settings of the deployment and by the submissions before them. */
+/** Validates submissions against the settings of the deployment and the earlier submissions. */
 export class SubmissionModel {
   constructor(
     private readonly deployment: {
-      /** CPUs that a team's tasks may use at once; a team without a limit has Infinity. */
+      /** CPUs that a team's tasks may use at once; Infinity for a team without a limit. */
       limits: ReadonlyMap<string, number>;
       types: readonly MachineType[];
     },
-    /** Whether a user has sent a submission of this job that can run. */
+    /** Whether a user has sent a valid submission of this job. */
     private readonly wasSubmitted: (id: string) => boolean,
   ) {}
 
-  /** Why a submission may not be accepted. */
+  /** Why a submission must be rejected; undefined if it may be accepted. */
   rejectionReason(body: unknown): string | undefined {
     return (
       this.rejectionReasonIgnoringDependencies(body) ??
@@ -77,9 +77,9 @@
     );
   }
 
-  /** The same, whatever jobs the submission names as its dependencies. */
+  /** Why a submission must be rejected whatever its dependencies are; undefined if only these can be invalid. */
   rejectionReasonIgnoringDependencies(body: unknown): string | undefined {
-    if (typeof body !== 'object' || body === null) return 'no map';
+    if (typeof body !== 'object' || body === null) return 'not an object';
     const fields = body as Record<string, unknown>;
     const invalidField = Object.keys(FIELDS).find((name) => FIELDS[name]?.(fields[name]) !== true);
     if (invalidField !== undefined) return `${invalidField} is missing or invalid`;
@@ -102,8 +102,8 @@
     if (awaits === undefined || awaits === null) return undefined;
     if (!isListOfIds(awaits)) return 'awaits is invalid';
     const ids = awaits as string[];
-    if (ids.includes(nameId as string)) return 'it names itself';
-    // One that was submitted may have been accepted, whether or not its user got an answer.
+    if (ids.includes(nameId as string)) return 'it depends on itself';
+    // A submitted job may have been accepted even if its user got no response.
     const unknown = ids.find((id) => !this.wasSubmitted(id));
     return unknown === undefined ? undefined : `${unknown} was never submitted`;
   }
--- a/test/fakes/submission.ts
+++ b/test/fakes/submission.ts
@@ -1,5 +1,5 @@
-/** @file A submission with values that work. */
-/** A submission as users send it; whatever a scenario doesn't care for has a value that works. */
+/** @file A valid submission for tests. */
+/** A submission as users send it, with valid defaults for all fields that a test doesn't set. */
 export function submission(id: string, fields: Record<string, unknown> = {}): Record<string, unknown> {
   return {
     nameId: id,
--- a/test/fakes/task-execution.ts
+++ b/test/fakes/task-execution.ts
@@ -1,12 +1,12 @@
-/** @file Runs attempts of tasks on a machine in memory, as commands say. */
+/** @file Executes a fake worker's commands: starts, runs and stops attempts of tasks. */
 import type { MachineClock } from './machine-clock';
 
-/** How long it takes to fetch what a task needs. */
+/** How long it takes to fetch the files that a task needs. */
 const FETCH_MS = 300;
-/** How long a task runs on a machine that fails every task. */
+/** How long a task runs before it fails on a machine that fails every task. */
 const FAILED_RUN_MS = 500;
 
-/** An attempt, with its state in the words of the wire. */
+/** An attempt, with the wire's names of its states. */
 export interface Attempt {
   readonly job: string;
   readonly task: number;
@@ -16,7 +16,7 @@
   stored?: boolean;
 }
 
-/** A command of the wire. */
+/** A command in its wire format. */
 export interface Command {
   verb: string;
   piece: string;
@@ -24,7 +24,7 @@
   leewayS?: number;
 }
 
-/** What a worker knows of a job: how long its tasks run and save their work, and what they use. */
+/** What a worker knows about a job: how long its tasks run and take to save a checkpoint, and the CPUs of a task. */
 export interface JobProfile {
   runS: number;
   saveS: number;
@@ -32,7 +32,7 @@
   cpus: number;
 }
 
-/** Knows the jobs of tasks, and is notified of what happens to tasks on machines. */
+/** Provides job profiles, and is notified of task starts and ends on machines. */
 export interface TaskObserver {
   jobProfile(job: string): JobProfile | undefined;
   onTaskStarted(task: string, machine: string): void;
@@ -50,7 +50,7 @@
   /** Every start command that was executed, by task and number of the attempt. */
   readonly startCommands: string[] = [];
   readonly reapCommands: string[] = [];
-  /** Fails every task that it starts. */
+  /** Whether every task that starts here fails. */
   failsTasks = false;
 
   constructor(
@@ -59,12 +59,12 @@
     private readonly tasks: TaskObserver,
   ) {}
 
-  /** Tasks that were commanded to start and are not running yet. */
+  /** Tasks whose start command was executed and that don't run yet. */
   get startingTasks(): string[] {
     return [...this.attempts.values()].filter(({ state }) => state === 'fetching').map(taskIdOf);
   }
 
-  /** CPUs that no task holds. */
+  /** CPUs that no attempt uses. */
   get freeCpus(): number {
     return [...this.attempts.values()]
       .filter(({ state }) => state !== 'ended')
@@ -87,7 +87,7 @@
     }
   }
 
-  /** Every attempt is gone at once. */
+  /** Drops all attempts at once. */
   dropAll(): void {
     for (const attempt of this.attempts.values()) this.#notifyTaskLeft(attempt);
     this.attempts.clear();
@@ -128,7 +128,7 @@
     if (this.attempts.get(key) !== attempt || attempt.state !== 'fetching') return;
     attempt.state = 'running';
     this.tasks.onTaskStarted(taskIdOf(attempt), this.machine.id);
-    // The result of a task that completed is kept.
+    // A task that completed before ends at once: its result is stored.
     const runMs = this.tasks.hasCompleted(taskIdOf(attempt)) ? 0 : profile.runS * 1000;
     this.clock.after(this.failsTasks ? FAILED_RUN_MS : runMs, () => {
       if (this.attempts.get(key) === attempt && attempt.state === 'running') {
--- a/test/fakes/task-invariants.ts
+++ b/test/fakes/task-invariants.ts
@@ -1,4 +1,4 @@
-/** @file Invariants of tasks on machines: each runs once, where it may, within its team's limit, and not when cancelled. */
+/** @file Invariants of tasks on machines: single execution, placement constraints, team limits, and cancellation. */
 import type { TimerClock } from './clock';
 import { jobOf, taskNumberOf, type ObservedJobs } from './observed-jobs';
 import type { Submission } from './submission-model';
@@ -14,18 +14,18 @@
   readonly isSpot: boolean;
 }
 
-/** What tasks are checked against. */
+/** The limits and machine descriptions that tasks are checked against. */
 export interface TaskLimits {
-  /** Seconds that tasks of a cancelled job may still run. */
+  /** Seconds that tasks of a cancelled job may still run after the cancellation was confirmed. */
   readonly cancelS: number;
-  /** CPUs that a team's tasks may use at once; a team without a limit has Infinity. */
+  /** CPUs that a team's tasks may use at once; Infinity for a team without a limit. */
   readonly limits: ReadonlyMap<string, number>;
   machine(id: string): MachineDescription | undefined;
 }
 
-/** Checks the tasks that run, as machines report them to the test. */
+/** Checks the running tasks, as the fake machines report them. */
 export class TaskInvariants {
-  /** Starts after a confirmed cancellation, within `cancelS`: no violation, yet nothing that ought to be. */
+  /** Task starts within `cancelS` after a confirmed cancellation: undesired, but no violation. */
   readonly startsAfterCancellation: string[] = [];
   readonly #machineOf = new Map<string, string>();
 
@@ -72,7 +72,7 @@
     if (missing !== undefined) this.violations.report('too_early', `${event}, and ${missing} isn't done`);
   }
 
-  /** Checks that no task of these jobs runs, whose time to end after a cancellation is over. */
+  /** Checks that no task of these jobs runs; called when the time limit for their cancellation has passed. */
   checkStopped(ids: ReadonlySet<string>): void {
     for (const [task, machine] of this.#machineOf) {
       if (!ids.has(jobOf(task))) continue;
@@ -94,7 +94,7 @@
     return this.limits.limits.get(team) ?? Infinity;
   }
 
-  /** Which constraint a job's next task would violate on this machine; `besides` is a task that doesn't count. */
+  /** The constraint that another task of the job would violate on this machine; the task `besides` is ignored. */
   placementViolation(id: string, machineId: string, besides?: string): string | undefined {
     const job = this.jobs.get(id)?.submission;
     const machine = this.limits.machine(machineId);
--- a/test/fakes/traffic-digest.ts
+++ b/test/fakes/traffic-digest.ts
@@ -1,4 +1,4 @@
-/** @file A digest of all that crosses the in-memory network, to compare the behaviour of two versions of the sources. */
+/** @file A digest of all messages on the simulated network, to compare the behaviour of two versions of the sources. */
 import { createHash } from 'node:crypto';
 import type { Message } from './network';
 
@@ -7,8 +7,8 @@
 }
 
 /**
- * JSON with sorted keys. Fields that are undefined are left out, as on the wire. Bytes and numbers that JSON doesn't know
- * are written so that they equal no JSON text. Throws on what no message may hold, such as a Map.
+ * JSON with sorted keys. Undefined fields are omitted, as on the wire. Bytes, and numbers that JSON can't express, get a
+ * representation that differs from any JSON text. Throws on values that messages can't contain, such as a Map.
  */
 export function canonicalJson(value: unknown): string {
   if (value === undefined) return 'undefined';
@@ -17,7 +17,7 @@
   if (value instanceof Uint8Array) return `bytes:${Buffer.from(value).toString('hex')}`;
   if (Array.isArray(value)) return `[${value.map(canonicalJson).join()}]`;
   if (typeof value !== 'object' || ![Object.prototype, null].includes(Object.getPrototypeOf(value) as null)) {
-    throw new Error(`no message may hold this: ${Object.prototype.toString.call(value)}`);
+    throw new Error(`a message can't contain this value: ${Object.prototype.toString.call(value)}`);
   }
   const fields = Object.entries(value)
     .filter(([, field]) => field !== undefined)
@@ -26,7 +26,7 @@
   return `{${fields.join()}}`;
 }
 
-/** A hash over every message, with the simulated time at which it left or arrived, in this order. */
+/** A hash over all messages in order, each with the simulated time at which it was sent or received. */
 export class TrafficDigest {
   readonly #hash = createHash('sha256');
   #count = 0;
@@ -37,12 +37,12 @@
     this.#hash.update(`${canonicalJson({ at, message })}\n`);
   };
 
-  /** How many messages were added; a request and its answer are two. */
+  /** Number of messages added; a request and its response count as two. */
   get count(): number {
     return this.#count;
   }
 
-  /** The hash of what was added so far, as hexadecimal text. */
+  /** The hash of the messages so far, as hexadecimal text. */
   hex(): string {
     return this.#hash.copy().digest('hex');
   }
--- a/test/fakes/versions.ts
+++ b/test/fakes/versions.ts
@@ -1,4 +1,4 @@
-/** @file Controllers of the present and of the production version. */
+/** @file Creates controllers of the present and of the production version. */
 import { existsSync } from 'node:fs';
 import { createRequire } from 'node:module';
 import { resolve } from 'node:path';
@@ -13,12 +13,12 @@
 
 type ControllerParts = typeof present;
 
-/** Written by test/production/bundle.ts; from the repository's root, where the tests run. */
+/** Written by test/production/bundle.ts. The path is relative to the repository's root, where the tests run. */
 const PRODUCTION_BUNDLE = 'target/production/controller.js';
 
 /**
- * The production version has the types of its own sources. Here, and nowhere else, they are taken for the present ones:
- * the tests use only what both versions have.
+ * Loads the production version's classes, cast to the present version's types. This is the only such cast; it is safe
+ * because the tests use only members that both versions have.
  */
 function loadProduction(): ControllerParts {
   const file = resolve(PRODUCTION_BUNDLE);
@@ -26,7 +26,7 @@
   return createRequire(file)(file) as ControllerParts;
 }
 
-/** Errors of the in-memory network, as instances of the version's own class, which it recognizes by `instanceof`. */
+/** Converts the fake network's errors to the version's own error class, which it recognizes by `instanceof`. */
 function withErrorsOf(parts: ControllerParts, caller: HttpCaller): HttpCaller {
   return {
     call: async (...request) => {
@@ -40,7 +40,7 @@
   };
 }
 
-/** A controller of either version, not started yet. */
+/** Creates a controller of either version without starting it. */
 export function createController(
   version: Version,
   settings: { platform: unknown; operator: unknown },
--- a/test/fakes/violations.ts
+++ b/test/fakes/violations.ts
@@ -1,7 +1,7 @@
-/** @file Violations of the invariants, as scenarios report them. */
+/** @file Violations of the invariants. */
 import type { TimerClock } from './clock';
 
-/** What is violated. */
+/** The invariant that is violated. */
 export type ViolationKind =
   | 'ran_twice'
   | 'quota'
@@ -16,7 +16,7 @@
   | 'bad_accepted'
   | 'waits';
 
-/** Collects violations with their times. */
+/** Collects violations with the times at which they were detected. */
 export class Violations {
   readonly all: string[] = [];
 
--- a/test/fakes/worker.ts
+++ b/test/fakes/worker.ts
@@ -1,4 +1,4 @@
-/** @file A worker by its published protocol, in memory: it reports, heeds its lease and executes commands. */
+/** @file A fake worker that speaks the published protocol: it sends heartbeats, obeys its lease and executes commands. */
 import { NoResponseError, type HttpResponse } from '../../src/transport/http-client';
 import type { TimerClock } from './clock';
 import { MachineClock } from './machine-clock';
@@ -8,7 +8,7 @@
 
 export type { JobProfile, TaskObserver } from './task-execution';
 
-/** Commands with the owner's fencing token and the incarnation that they are for, in the words of the wire. */
+/** Commands in their wire format, with the owner's fencing token and the worker incarnation that they are for. */
 interface Commands {
   baton?: number;
   shift?: number;
@@ -22,14 +22,14 @@
   readonly cpus: number;
 }
 
-/** To whom a worker reports, how often, and how long its lease lasts. */
+/** The controllers that a worker sends heartbeats to, the heartbeat interval, and the duration of its lease. */
 export interface WorkerSettings {
   readonly controllers: readonly { name: string; address: string }[];
   readonly heartbeatS: number;
   readonly leaseS: number;
 }
 
-/** What surrounds a worker. */
+/** The clock, the network and the observer of tasks that a worker uses. */
 export interface WorkerEnvironment {
   readonly clock: TimerClock;
   readonly network: Network;
@@ -37,12 +37,12 @@
 }
 
 const HEARTBEAT_TIMEOUT_MS = 4_000;
-/** Pauses before the next report: after no answer, after a redirection, and while the machine hangs. */
+/** Delays before the next heartbeat: after no response, after a redirect, and while the machine hangs. */
 const RETRY_DELAY_MS = 1_000;
 const REDIRECT_DELAY_MS = 100;
 const HANG_CHECK_INTERVAL_MS = 100;
 
-/** A worker on a machine in memory. */
+/** A worker on a fake machine. */
 export class FakeWorker {
   incarnation = 1;
   sequence = 0;
@@ -50,11 +50,11 @@
   spotNoticeS: number | null = null;
   isUp = false;
   isTerminated = false;
-  /** What it answers to commands and questions instead of executing them. */
+  /** The response to commands and status queries, which are then not executed. */
   malformedResponse: (() => HttpResponse) | undefined;
   readonly #clock: MachineClock;
   readonly #execution: TaskExecution;
-  /** When the last report that was answered was sent: its lease counts from then. */
+  /** When the last heartbeat that got a response was sent; the lease starts at that time. */
   #leaseStartedAt: number;
   #controller = 0;
 
@@ -94,17 +94,17 @@
     return this.#execution.reapCommands;
   }
 
-  /** Tasks that were commanded to start and are not running yet. */
+  /** Tasks whose start command was executed and that don't run yet. */
   get startingTasks(): string[] {
     return this.#execution.startingTasks;
   }
 
-  /** CPUs that no task holds. */
+  /** CPUs that no attempt uses. */
   get freeCpus(): number {
     return this.#execution.freeCpus;
   }
 
-  /** Whether it fails every task that it starts. */
+  /** Whether every task that starts here fails. */
   get failsTasks(): boolean {
     return this.#execution.failsTasks;
   }
@@ -117,7 +117,7 @@
     return this.#clock.isHanging;
   }
 
-  /** A machine that hangs runs no tasks. When it resumes, its lease comes first, then the commands that have queued. */
+  /** A hung machine runs no tasks. When it resumes, it checks its lease before it executes queued commands. */
   set isHanging(hangs: boolean) {
     if (hangs === this.#clock.isHanging) return;
     if (hangs) {
@@ -136,7 +136,7 @@
     void this.#run();
   }
 
-  /** The cloud takes the machine away. */
+  /** The cloud terminates the machine. */
   terminate(): void {
     this.isTerminated = true;
     this.isUp = false;
@@ -145,7 +145,7 @@
     this.#execution.dropAll();
   }
 
-  /** The next report, in the words of the wire. */
+  /** The next heartbeat, in its wire format. */
   nextHeartbeat(): Record<string, unknown> {
     this.sequence += 1;
     return {
@@ -182,7 +182,7 @@
     }
   }
 
-  /** Reports once; how long to wait until the next report. */
+  /** Sends a heartbeat. Returns how long to wait before the next one, in milliseconds. */
   async #sendHeartbeat(address: string): Promise<number> {
     const { clock, network } = this.environment;
     const sentAt = clock.now();
@@ -191,7 +191,7 @@
       const response = await network
         .caller(this.id)
         .call(address, 'POST', '/hello', this.nextHeartbeat(), HEARTBEAT_TIMEOUT_MS);
-      // What came during a hang is read when it resumes; a response that is too old by then is dropped.
+      // A response that arrives during a hang is read when the machine resumes, and dropped if it is too old by then.
       if (this.isHanging) await new Promise<void>((resume) => this.#clock.onResume(resume));
       if (clock.now() - sentAt > HEARTBEAT_TIMEOUT_MS) throw new NoResponseError('time is up', true);
       if (response.status !== 200) return this.#chooseController(response);
@@ -211,7 +211,7 @@
     this.#execution.execute(orders);
   }
 
-  /** Goes to the controller that a refusal names, or else to the next; how long to wait before that. */
+  /** Selects the controller that a redirect names, or else the next one. Returns the delay before the next heartbeat. */
   #chooseController({ status, body }: HttpResponse): number {
     const { controllers } = this.settings;
     const controllerName = (body as { foreman?: string } | null)?.foreman;
--- a/test/fault-steps.ts
+++ b/test/fault-steps.ts
@@ -1,9 +1,9 @@
-/** @file Steps that several scenarios with combined faults share. */
+/** @file Shared steps of the tests with combined faults. */
 import type { SimulatedCluster } from './fakes/simulated-cluster';
 
 /**
- * Waits until every controller has seen the end of each job whose tasks may still run anywhere, with empty machines
- * there. The cloud's releases are lost from then on: an unreachable machine stops only when its lease ends.
+ * Waits until every controller has seen the end of all jobs whose tasks may still be running, and adds idle machines.
+ * Then loses all release requests to the cloud: an unreachable machine stops its tasks only when its lease expires.
  */
 export async function addMachinesAndDropReleases(cluster: SimulatedCluster): Promise<void> {
   await cluster.clock.advance(50_000);
@@ -22,17 +22,17 @@
   return cluster.runningTasks.map((task) => `${task} ${cluster.machineOf(task)}`).sort();
 }
 
-/** The zone of a machine, as it reports it. */
+/** The zone of a machine, according to its heartbeat. */
 export function zoneOf(cluster: SimulatedCluster, machine: string): unknown {
   return cluster.worker(machine).nextHeartbeat().yard;
 }
 
-/** How many start commands all workers have received so far. */
+/** Number of start commands that all workers have executed so far. */
 export function startCount(cluster: SimulatedCluster): number {
   return [...cluster.workers.values()].flatMap((w) => w.startCommands).length;
 }
 
-/** Kills the leader and waits until another node owns its shards; the killed one restarts a while later. */
+/** Kills the owner of shard 0, waits until another controller owns it, and restarts the killed one later. */
 export async function changeLeader(cluster: SimulatedCluster, restartAfterMs = 3_000): Promise<number> {
   const previous = await cluster.untilOwned();
   cluster.kill(previous);
@@ -44,7 +44,7 @@
   return owner;
 }
 
-/** Sends copies of earlier reports to every controller; the answers are dropped. */
+/** Sends earlier heartbeats to every running controller as delayed duplicates, and ignores the responses. */
 export function replayHeartbeats(
   cluster: SimulatedCluster,
   reports: readonly Record<string, unknown>[],
--- a/test/formats/make-samples.ts
+++ b/test/formats/make-samples.ts
@@ -1,4 +1,4 @@
-/** @file Makes the samples of what production's controllers write, with the sources of the production version. */
+/** @file Generates samples of the records and peer messages that the production version's controllers write. */
 import { execFileSync } from 'node:child_process';
 import { cpSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -7,7 +7,7 @@
 const SAMPLES_FILE = 'test/data/production-formats.json';
 const FORMATS = 'test/formats';
 
-/** Replaces scenario-cluster.ts in the sources of the production version: the same in their names. */
+/** Replaces scenario-cluster.ts in the production version's sources: maps its names to the present version's names. */
 const SCENARIO_CLUSTER = `
 import { FakeStateService } from '../fakes/state-service';
 import { World } from '../fakes/world';
@@ -46,7 +46,7 @@
 export const changeOf = (message) => (message?.kind === 'nudge' ? message.event : undefined);
 `;
 
-/** Runs the scenario with the sources of the production version, and keeps what its controllers wrote as test data. */
+/** Runs the scenario with the production version's sources, and saves what its controllers wrote as test data. */
 function main(): void {
   extractProduction();
   const directory = join(PRODUCTION_DIRECTORY, FORMATS);
--- a/test/formats/print-samples.ts
+++ b/test/formats/print-samples.ts
@@ -1,16 +1,16 @@
-/** @file Prints samples of what controllers write; it is run with the sources of the production version. */
+/** @file Prints samples of what controllers write. It is bundled with the production version's sources and run. */
 import { Bitmap } from '../../src/bookkeeping/bitmap';
 import type { BitmapSample } from './samples';
 import { collectSamples } from './scenario';
 
-/** The bitmap of the production version, which knew chunks of one length only. */
+/** The bitmap of the production version, which supports only one chunk size. */
 interface ChunkedBitmap {
   readonly chunks: number;
   set(task: number): boolean;
   encodeChunk(chunk: number): string;
 }
 
-/** To be called with the production version's sources only. */
+/** Samples of encoded bitmaps. Works only with the production version's sources. */
 function bitmaps(): BitmapSample[] {
   const cases = [
     { tasks: 1, done: [0] },
--- a/test/formats/samples.ts
+++ b/test/formats/samples.ts
@@ -1,23 +1,23 @@
-/** @file Samples of records and peer messages, as they are kept in test/data. */
-/** A record as it lies in the state service. */
+/** @file Format of the samples of records and peer messages in test/data. */
+/** A record as it is stored in the key-value store. */
 export interface RecordSample {
   key: string;
   value: unknown;
-  /** Whether the record goes with the lease of its writer. */
+  /** Whether the record is deleted when its writer's lease ends. */
   isHeldByLease: boolean;
 }
 
-/** A message between controllers: its bytes, and what its reader made of them. */
+/** A peer message: its bytes, and the message decoded from them. */
 export interface PeerSample {
   base64: string;
   message: unknown;
 }
 
-/** The completions of a job, some of its tasks done, as the chunks of its bitmap. */
+/** The completed tasks of a job, and the encoded chunks of its bitmap. */
 export interface BitmapSample {
   tasks: number;
   done: number[];
-  /** The text of each chunk. */
+  /** The encoded text of each chunk. */
   chunks: string[];
 }
 
@@ -26,7 +26,7 @@
   peerMessages: PeerSample[];
 }
 
-/** The kind of a record: its key, with what differs from one record to the next replaced by a name. */
+/** The pattern of a record's key: ids and numbers are replaced by placeholders. */
 export function keyPattern(key: string): string {
   const [head = '', kind = '', ...rest] = key.split('/');
   if (head === 'final') return `final/${kind.replace(/^req-\d+$/, 'JOB')}`;
--- a/test/formats/scenario-cluster.ts
+++ b/test/formats/scenario-cluster.ts
@@ -1,6 +1,6 @@
 /**
- * @file What the scenario of the samples needs of the sources that it is run with. test/formats/make-samples.ts replaces
- * this file in the sources of the production version, which have the same under other names.
+ * @file The parts of the sources that the samples' scenario uses and that differ in name between the versions.
+ * test/formats/make-samples.ts replaces this file when the scenario runs with the production version's sources.
  */
 import type { Controller } from '../../src/coordination/controller';
 import type { ChangeEvent } from '../../src/protocol/key-value-store';
@@ -14,7 +14,7 @@
   return process.controller;
 }
 
-/** The change that a message notifies of. */
+/** The change event that a peer message contains, if any. */
 export function changeOf(message: PeerMessage | undefined): ChangeEvent | undefined {
   return message?.kind === 'change notification' ? message.event : undefined;
 }
--- a/test/formats/scenario.ts
+++ b/test/formats/scenario.ts
@@ -1,4 +1,4 @@
-/** @file A scenario in which controllers write every kind of record and peer message, and the samples of these. */
+/** @file A scenario in which controllers write every kind of record and peer message, of which it collects samples. */
 import { isDeepStrictEqual } from 'node:util';
 import { readPeerMessage } from '../../src/protocol/peers';
 import { changeOf, controllerOf, SimulatedCluster } from './scenario-cluster';
@@ -8,7 +8,7 @@
 const STATE = '10.2.0.1:2379';
 const MAX_SAMPLES_PER_VARIANT = 2;
 
-/** Keeps a few different samples of each variant. */
+/** Keeps a few distinct samples of each variant. */
 class VariantSamples<T> {
   readonly #variants = new Map<string, T[]>();
 
@@ -24,15 +24,15 @@
   }
 }
 
-/** Values by which records of the same fields still differ in kind. */
+/** The values that distinguish variants of records with the same fields: states and booleans. */
 function variantFields(value: unknown): string {
   const fields = Object.entries((value ?? {}) as Record<string, unknown>);
   return JSON.stringify(fields.filter(([name, field]) => name === 'state' || typeof field === 'boolean'));
 }
 
 /**
- * Drives a deployment through everything that makes controllers write a record or send a peer message, and
- * collects samples. It is run with the sources of either version: what differs between them is in scenario-cluster.ts.
+ * Collects samples of the records and peer messages of deployments. It runs with the sources of either version; what
+ * differs between them is in scenario-cluster.ts.
  */
 class Collector {
   readonly #records = new VariantSamples<RecordSample>();
@@ -42,7 +42,7 @@
     return { records: this.#records.all, peerMessages: this.#peerMessages.all };
   }
 
-  /** A deployment whose records and peer messages are collected. */
+  /** Creates a deployment and collects samples of its records and peer messages. */
   cluster(operator: Record<string, unknown> = {}): SimulatedCluster {
     const cluster = new SimulatedCluster({ operator });
     cluster.network.attach(STATE, async (request) => {
@@ -80,7 +80,7 @@
   }
 }
 
-/** Jobs of all sorts are accepted, partly done, done and cancelled, and a controller dies and returns. */
+/** Jobs of various kinds are accepted, partly done, done and cancelled; a controller is killed and restarted. */
 async function runJobs(collector: Collector): Promise<void> {
   const cluster = collector.cluster();
   await cluster.submit('req-1', { pieces: 30, reckonS: 4 }, 4);
@@ -104,7 +104,7 @@
   await cluster.untilJobState('req-1', 'done');
   await cluster.untilJobState('req-2', 'done');
   await cluster.untilJobState('req-4', 'done');
-  // A machine that no record names is taken in.
+  // The controllers discover a machine that has no record, and record it.
   cluster.addWorker('b');
   await cluster.clock.advance(10_000);
   const owner = await cluster.untilOwned();
@@ -115,7 +115,7 @@
   cluster.assertInvariants();
 }
 
-/** Some machines and a controller can't reach the owner: that controller keeps their leases. */
+/** Some machines and a controller are partitioned from the owner; that controller relays the machines' leases. */
 async function runPartition(collector: Collector): Promise<void> {
   const cluster = collector.cluster();
   await cluster.submit('req-1', { pieces: 16, reckonS: 60 }, 60);
@@ -142,7 +142,7 @@
   cluster.assertInvariants();
 }
 
-/** The owner is isolated from its workers, and gives its shard to the controller that they report to. */
+/** The owner is partitioned from its workers, and hands its shard over to the controller that they send heartbeats to. */
 async function runHandover(collector: Collector): Promise<void> {
   const cluster = collector.cluster();
   await cluster.submit('req-1', { pieces: 16, reckonS: 60 }, 60);
@@ -158,7 +158,7 @@
   cluster.assertInvariants();
 }
 
-/** The owner's lease is extended by its peers during an outage; one of them knows of a cancellation, it doesn't. */
+/** Peers extend the owner's lease during a store outage; one of them knows a cancellation that the owner doesn't. */
 async function runOutage(collector: Collector): Promise<void> {
   const cluster = collector.cluster({ blocks: 2 });
   await cluster.submit('req-1', { pieces: 3 }, 200);
@@ -177,7 +177,7 @@
   cluster.assertInvariants();
 }
 
-/** Samples of all records and peer messages, written by the controllers of the sources that this is run with. */
+/** Runs the scenario and returns samples of all records and peer messages that the controllers wrote. */
 export async function collectSamples(): Promise<Samples> {
   const collector = new Collector();
   await runJobs(collector);
--- a/test/formats/shape.ts
+++ b/test/formats/shape.ts
@@ -1,4 +1,4 @@
-/** @file The fields of records and peer messages with their types. */
+/** @file Lists the fields of records and peer messages with their types. */
 import { Reader } from 'protobufjs';
 
 /** The fields of a JSON value with their types, as `path: type`; an array's elements are `path[]`. */
@@ -14,7 +14,7 @@
   return [`${path}: object`, ...fields].sort();
 }
 
-/** Paths of field numbers in a `PeerMessage` (src/protocol/peer.proto) that hold messages themselves. */
+/** Paths of the fields of a `PeerMessage` (src/protocol/peer.proto) that contain nested messages, as field numbers. */
 const MESSAGE_FIELDS = new Set(['1', '2', '3', '4', '2.1', '2.5', '4.4']);
 const LENGTH_DELIMITED = 2;
 
--- a/test/limited-store-steps.ts
+++ b/test/limited-store-steps.ts
@@ -1,4 +1,4 @@
-/** @file A state service that enforces limits, for tests of their fall. */
+/** @file A key-value store that enforces limits, for tests of lowered limits. */
 import assert from 'node:assert/strict';
 import { runLoop } from '../src/base/loop';
 import { WatchCache } from '../src/bookkeeping/watch-cache';
@@ -19,7 +19,7 @@
   debug: () => undefined,
 };
 
-/** Settings of a platform that announces limits. */
+/** Platform settings that announce new limits of the store. */
 export function platformSettings(next?: unknown): unknown {
   return {
     node: 'node-0',
@@ -37,7 +37,7 @@
   };
 }
 
-/** A state service with one node's store and copy of its records. */
+/** A fake store, with the store client and the watch cache of one controller. */
 export class StoreFixture {
   readonly clock = new FakeClock();
   readonly network = new FakeNetwork(this.clock);
@@ -59,7 +59,7 @@
     return new HttpKeyValueStore({ http, address: '10.2.0.1:2379', requests, writes, timeoutMs: 1500 });
   }
 
-  /** A copy that is read anew. */
+  /** A new watch cache, which reads all records. */
   newCache(): WatchCache {
     const cache = new WatchCache({
       store: this.#newStore(CURRENT_LIMITS.write_rps),
@@ -78,7 +78,7 @@
     assert.ok(this.cache.isLoaded);
   }
 
-  /** Lets time pass until it is done, and a little longer for the watches to report it. */
+  /** Advances the time until the work is done, and one second more for the watch cache to receive its changes. */
   async runUntilDone(work: Promise<unknown>): Promise<void> {
     let isFinished = false;
     const finished = work.finally(() => {
--- a/test/production/bundle.ts
+++ b/test/production/bundle.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path';
 import { extractProduction, PRODUCTION_DIRECTORY } from './extract';
 
-/** What `test/fakes/controller-parts.ts` names of the present version, under the names of the production version. */
+/** The exports of `test/fakes/controller-parts.ts`, taken from the production version under its own names. */
 const PARTS = `
 export { makeSettings } from '../../src/base/settings';
 export { Node as Controller } from '../../src/coordination/node';
@@ -12,7 +12,7 @@
 export { NoAnswer as NoResponseError } from '../../src/transport/http-client';
 `;
 
-/** Bundles the production version's controller, for tests in which it serves beside the present one. */
+/** Bundles the production version's controller, for tests in which both versions run in one deployment. */
 function main(): void {
   extractProduction();
   const entry = join(PRODUCTION_DIRECTORY, 'test/fakes/controller-parts.ts');
--- a/test/production/extract.ts
+++ b/test/production/extract.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path';
 import { parse } from 'smol-toml';
 
-/** Where the sources of the production version lie after `extractProduction`; from the repository's root. */
+/** The directory that `extractProduction` writes to, relative to the repository's root. */
 export const PRODUCTION_DIRECTORY = 'target/production';
 
 const SERVICE_FILE = 'deploy/service.toml';
@@ -16,7 +16,7 @@
   return production;
 }
 
-/** Extracts the sources of the production version from the history, unless they are there. */
+/** Extracts the sources of the production version from the history, unless they have been extracted before. */
 export function extractProduction(): void {
   const commit = productionCommit();
   const stamp = join(PRODUCTION_DIRECTORY, 'COMMIT');
--- a/test/scheduling-inputs.ts
+++ b/test/scheduling-inputs.ts
@@ -1,8 +1,7 @@
-/** @file Inputs of decisions, shared by their tests. */
+/** @file Shared inputs for tests of scheduling algorithms. */
 import type { WaitingJob } from '../src/coordination/scheduling/job-queue';
 import type { Job, MachineType, Priority } from '../src/protocol/model';
 
-/** A machine type. */
 export const type: MachineType = {
   name: 'm4',
   cpus: 4,
@@ -16,7 +15,7 @@
   zones: ['a', 'b'],
 };
 
-/** A job of four tasks that need one CPU each; the fields given replace the usual ones. */
+/** A job of four tasks with one CPU each; `fields` override the defaults. */
 export function job(id: string, team: string, priority: Priority, fields: Partial<Job> = {}): Job {
   return {
     id,
@@ -42,7 +41,7 @@
   };
 }
 
-/** A job all of whose tasks wait. */
+/** A job whose tasks are all pending. */
 export function waitingJob(j: Job, slackMs = 0, work = 1): WaitingJob {
   return {
     job: j,
@@ -58,7 +57,7 @@
   };
 }
 
-/** The limits of a team with a guarantee of so many CPUs. */
+/** The limits of a team with this number of guaranteed CPUs. */
 export const teamLimits = (
   cpus: number,
 ): { cpus: number; cpus_max: number; gpus: number; gpus_max: number } => ({
@@ -67,7 +66,6 @@
   gpus: 0,
   gpus_max: 0,
 });
-/** A machine with so many free CPUs. */
 export const machineWithFreeCpus = (id: string, cpus: number) => ({
   id,
   type,
--- a/test/suspicion-defaults.ts
+++ b/test/suspicion-defaults.ts
@@ -1,9 +1,9 @@
-/** @file The options of suspicion that hold where an options file only switches it on. */
+/** @file The default options of suspicion, which apply if the operator's settings only enable it. */
 import { makeSettings } from '../src/base/settings';
 import { readSuspicionOptions, type SuspicionOptions } from '../src/suspicion/options';
 import { controllerSettings } from './fakes/controller-settings';
 
-/** Reads the defaults, as a controller with a shard lease of 5 s does. */
+/** Reads the default options as a controller with a shard lease of 5 s does. */
 function readDefaults(): SuspicionOptions {
   const { platform } = controllerSettings(0, {}, 1);
   const options = readSuspicionOptions(makeSettings(platform, { suspicion: { enabled: true } }));
@@ -11,5 +11,4 @@
   return options;
 }
 
-/** The defaults. */
 export const DEFAULT_OPTIONS = readDefaults();
--- a/test/suspicion-steps.ts
+++ b/test/suspicion-steps.ts
@@ -1,4 +1,4 @@
-/** @file Steps that scenarios of failing controllers share: faults, a deployment under work, and what must hold. */
+/** @file Shared steps of the tests of controller faults: a loaded deployment, the faults, and the final checks. */
 import assert from 'node:assert/strict';
 import { KEY, read } from '../src/bookkeeping/records';
 import { STORE_ADDRESS, type ClusterOptions } from './fakes/controller-settings';
@@ -6,17 +6,17 @@
 import { OwnershipRecorder } from './fakes/ownership-recorder';
 import { SimulatedCluster } from './fakes/simulated-cluster';
 
-/** The operator's settings with suspicion on, and as they are without. */
+/** Operator settings with suspicion enabled, and the default ones without it. */
 export const SUSPICION_ON = { suspicion: { enabled: true } };
 export const SUSPICION_OFF = {};
 
 const MACHINES = 6;
 const LONG_JOB_TASKS = 6;
 const CANCELLED_JOB_TASKS = 2;
-/** How long after the last fault all work must be over, in seconds. */
+/** All jobs must finish within this time after the last fault, in seconds. */
 const JOBS_FINISH_WITHIN_S = 150;
 
-/** A deployment under work, and the record of who owns its shards. */
+/** A deployment with running jobs, and the recorder of its shard ownership. */
 export interface FaultScenario {
   readonly cluster: SimulatedCluster;
   readonly history: OwnershipRecorder;
@@ -24,10 +24,10 @@
   readonly owner: number;
 }
 
-/** What a scenario does; it ends when the fault is over. */
+/** Injects a fault; resolves when the fault is over. */
 export type Fault = (scenario: FaultScenario) => Promise<void>;
 
-/** Injects a fault into a deployment under work, and checks ownership, the invariants and that no job is left. */
+/** Injects a fault into a deployment with running jobs; checks ownership, the invariants, and that all jobs finish. */
 export async function runFaultScenario(
   fault: Fault,
   options: ClusterOptions,
@@ -39,7 +39,7 @@
   await cluster.submit('req-2', { pieces: CANCELLED_JOB_TASKS }, 300);
   const tasks = LONG_JOB_TASKS + CANCELLED_JOB_TASKS;
   await cluster.until('all tasks run', () => cluster.runningTasks.length >= tasks);
-  // Peers need heartbeats of each other for a while before silence means anything.
+  // Peers must receive heartbeats from each other for a while before they can detect missing ones.
   await cluster.clock.advance(6_000);
   const recorder = new OwnershipRecorder(cluster);
   await fault({ cluster, history: recorder, owner: cluster.owner });
@@ -53,14 +53,14 @@
   return { cluster, history };
 }
 
-/** Stops a controller's process for a while; its jobs are orphaned meanwhile. */
+/** Freezes a controller's process for a while, and records its jobs as orphaned. */
 export function freezeFor({ cluster, history }: FaultScenario, index: number, ms: number): void {
   history.recordControllerFailure(index);
   const resume = cluster.freeze(index);
   cluster.clock.after(ms, resume);
 }
 
-/** Kills a controller's process, which comes back after a while. */
+/** Kills a controller's process, records its jobs as orphaned, and restarts it after a while. */
 export function killFor({ cluster, history }: FaultScenario, index: number, ms: number): void {
   history.recordControllerFailure(index);
   cluster.kill(index);
@@ -69,10 +69,10 @@
   });
 }
 
-/** What a controller can be cut from. */
+/** What a controller can be partitioned from. */
 export type Connection = 'peers' | 'workers' | 'state';
 
-/** Cuts a controller from some of its surroundings until the function returned is called. */
+/** Partitions a controller from its peers, workers or the store. Returns a function that ends the partition. */
 export function partitionFrom(
   cluster: SimulatedCluster,
   index: number,
@@ -96,7 +96,7 @@
   };
 }
 
-/** Parts two groups of controllers from each other; messages between them are lost. */
+/** Partitions two groups of controllers from each other. Returns a function that ends the partition. */
 export function partitionGroups(
   cluster: SimulatedCluster,
   left: readonly number[],
@@ -109,18 +109,18 @@
   };
 }
 
-/** Users submit a job and cancel another through a controller while the fault lasts. */
+/** Submits a job and cancels another through a controller during a fault. */
 export async function submitAndCancelDuring(cluster: SimulatedCluster, index: number): Promise<void> {
   await cluster.submit('req-3', { pieces: 2 }, 5, index);
   assert.equal(await cluster.cancel('req-2', index), 'withdrawn');
 }
 
-/** The other controllers, by their indices. */
+/** The indices of the other controllers. */
 export function otherControllers(cluster: SimulatedCluster, index: number): number[] {
   return cluster.controllers.map((_, other) => other).filter((other) => other !== index);
 }
 
-/** The controller that leads, by its index; -1 while none does. */
+/** The index of the leader; -1 while there is none. */
 export function leaderIndex(cluster: SimulatedCluster): number {
   const leader = read.leader(cluster.store.data.get(KEY.leader)?.data)?.node;
   return cluster.controllers.findIndex(({ name }) => name === leader);
--- a/test/upgrade-steps.ts
+++ b/test/upgrade-steps.ts
@@ -1,4 +1,4 @@
-/** @file Steps that tests of upgrades from the production version share. */
+/** @file Shared steps of the tests of upgrades from the production version. */
 import assert from 'node:assert/strict';
 import { read, RECORD_FORMAT } from '../src/bookkeeping/records';
 import type { Request } from './fakes/network';
@@ -18,7 +18,7 @@
   delete?: string;
 }
 
-/** Whether a request is a transaction that writes a record whose key begins so. */
+/** Whether a request is a transaction that writes a record with this key prefix. */
 export function writesRecord({ path, body }: Request, prefix: string): boolean {
   if (path !== '/txn') return false;
   const { apply = [] } = body as { apply?: Change[] };
@@ -35,7 +35,7 @@
   return cluster.controllers.findIndex(({ name }) => name === record?.node);
 }
 
-/** Controllers that have left their mark of the present record format. */
+/** Controllers whose format record names the present record format or a later one. */
 export function controllersWithFormatRecord(cluster: SimulatedCluster): string[] {
   return CONTROLLERS.filter((name) => {
     const record = read.format(cluster.store.data.get(`live/format/${name}`)?.data);
@@ -54,7 +54,7 @@
   cluster.restart(index, NEW);
 }
 
-/** Every start order that a worker executed, by task: how often it was started. */
+/** Number of start commands that workers executed, by task of the job. */
 export function startsOf(cluster: SimulatedCluster, job: string): Map<string, number> {
   const starts = new Map<string, number>();
   for (const command of [...cluster.workers.values()].flatMap((worker) => worker.startCommands)) {
@@ -74,7 +74,7 @@
   );
 }
 
-/** The owner is cut from its workers; they come to the controller after it, which gets the shard. */
+/** Partitions the owner from its workers until it hands the shard over to the next controller, which is returned. */
 export async function forceHandover(cluster: SimulatedCluster): Promise<number> {
   const owner = cluster.controllers[cluster.owner];
   const newOwner = (cluster.owner + 1) % CONTROLLERS.length;
@@ -100,7 +100,7 @@
   await cluster.until(`${tasks} tasks of ${job} run`, () => running() >= tasks);
 }
 
-/** A deployment whose shard is owned, and which is led, by the first controller. */
+/** Creates a deployment in which the first controller owns the shard and is the leader. */
 export async function clusterOwnedByFirst(versions: Version[]): Promise<SimulatedCluster> {
   const cluster = new SimulatedCluster({ versions });
   assert.equal(await cluster.untilOwned(), 0);
--- a/test/user-steps.ts
+++ b/test/user-steps.ts
@@ -1,10 +1,9 @@
-/** @file Steps of users that poll all nodes, shared by several scenarios. */
+/** @file Shared steps of tests with users that poll all controllers. */
 import assert from 'node:assert/strict';
 import type { HttpResponse } from '../src/transport/http-client';
 import type { Request } from './fakes/network';
 import type { SimulatedCluster } from './fakes/simulated-cluster';
 
-/** The index of each node. */
 export const CONTROLLER_INDICES = [0, 1, 2];
 
 interface Change {
@@ -19,7 +18,7 @@
   return apply.some((c) => c.set === `final/${id}`);
 }
 
-/** Sends a user's request; its answer is checked by the invariants, and undefined if there is none. */
+/** Sends a user's request. The invariants check the response; it is undefined if the request fails. */
 export function send(
   cluster: SimulatedCluster,
   to: number,
@@ -33,7 +32,7 @@
     .catch(() => undefined);
 }
 
-/** Users poll all nodes, and repeat the submission there, every few milliseconds. */
+/** Polls a job at all controllers and resubmits it there, every few milliseconds. Collects the returned states. */
 export function pollContinuously(
   cluster: SimulatedCluster,
   id: string,
@@ -56,7 +55,7 @@
   return observed;
 }
 
-/** The state that all nodes answer, which must be the same one at three times. */
+/** The job's state, after asserting that all controllers return the same state in three rounds. */
 export async function consistentState(cluster: SimulatedCluster, id: string): Promise<string> {
   const states = new Set<string | number>();
   for (let round = 0; round < 3; round += 1) {
@@ -67,7 +66,7 @@
   return String([...states][0]);
 }
 
-/** Controllers learn of changes only by their own reads: peer messages are lost, watches are slow. */
+/** Delays the controllers' watch caches: change notifications of peers are lost, and watches are slow. */
 export function delayWatchCaches(cluster: SimulatedCluster): void {
   cluster.dropsPeerMessages = true;
   cluster.store.rule(({ path, from }) =>
