--- a/test/fakes/network.ts
+++ b/test/fakes/network.ts
@@ -11,8 +11,9 @@
 }
 
 /**
- * How the network handles a request. 'hold' delivers it when the test calls `releaseHeld`, and drops the response. 'copy'
- * delivers it at once, and a duplicate on `releaseHeld`. 'lose answer' delivers it and drops the response.
+ * How the network handles a request. 'unreachable' and 'lose' don't deliver it; after 'lose', the sender can't know that.
+ * 'lose answer' delivers it and drops the response. 'hold' delivers it when the test calls `releaseHeld`, and drops the
+ * response. 'copy' delivers it at once, and a duplicate on `releaseHeld`.
  */
 export type DeliveryMode = 'deliver' | 'unreachable' | 'lose' | 'lose answer' | 'hold' | 'copy';
 /** A message that crosses the network; a request and its response have the same number. */
