--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -17,7 +17,7 @@
   addWorker(zone: string, isSpot: boolean): string;
 }
 
-/** Answers the controllers' requests to the cloud. */
+/** Handles the controllers' requests to the cloud. */
 export class FakeCloud {
   /** How many more machines the cloud can rent out. */
   capacity = 8;
--- a/test/fakes/task-execution.ts
+++ b/test/fakes/task-execution.ts
@@ -128,7 +128,7 @@
     if (this.attempts.get(key) !== attempt || attempt.state !== 'fetching') return;
     attempt.state = 'running';
     this.tasks.onTaskStarted(taskIdOf(attempt), this.machine.id);
-    // A task that completed before ends at once: its result is stored.
+    // If the task completed in an earlier attempt, its result is stored, and this attempt ends at once.
     const runMs = this.tasks.hasCompleted(taskIdOf(attempt)) ? 0 : profile.runS * 1000;
     this.clock.after(this.failsTasks ? FAILED_RUN_MS : runMs, () => {
       if (this.attempts.get(key) === attempt && attempt.state === 'running') {
