--- a/test/fakes/clock.ts
+++ b/test/fakes/clock.ts
@@ -1,4 +1,4 @@
-/** @file Time that scenarios control. */
+/** @file Simulated time that tests advance, and the clock of a simulated process. */
 import TinyQueue from 'tinyqueue';
 import type { Clock } from '../../src/base/clock';
 
@@ -9,16 +9,16 @@
   fire(): void;
 }
 
-/** What the stand-ins need of time: a scenario's, or the real one's under load. */
+/** The part of a clock that the fakes use: simulated in tests, real in load tests. */
 export interface TimerClock extends Pick<Clock, 'now' | 'sleep'> {
   after(ms: number, fire: () => void): unknown;
 }
 
-/** Time that moves only when a scenario says so. */
+/** A clock that moves only when a test advances it. */
 export class FakeClock implements Clock, TimerClock {
   #now = 0;
   #order = 0;
-  /** The next to fall due first; those of one moment in the order in which they were set. */
+  /** Ordered by due time; timers due at the same time fire in the order in which they were set. */
   readonly #timers = new TinyQueue<Timer>([], (a, b) => a.at - b.at || a.order - b.order);
 
   now(): number {
@@ -46,23 +46,23 @@
         resolve();
         return;
       }
-      const aborted = (): void => {
+      const onAbort = (): void => {
         this.cancel(timer);
         resolve();
       };
       const timer = this.after(ms, () => {
-        signal?.removeEventListener('abort', aborted);
+        signal?.removeEventListener('abort', onAbort);
         resolve();
       });
-      signal?.addEventListener('abort', aborted, { once: true });
+      signal?.addEventListener('abort', onAbort, { once: true });
     });
   }
 
-  /** Lets time pass, firing what falls due, in order. */
+  /** Advances the time and fires the timers that become due, in order. */
   async advance(ms: number): Promise<void> {
     const end = this.#now + ms;
     for (;;) {
-      await settle();
+      await drainEventLoop();
       const next = this.#nextUntil(end);
       if (!next) break;
       this.#now = Math.max(this.#now, next.at);
@@ -81,13 +81,13 @@
 }
 
 /**
- * A process's view of the simulated time, with the process standing still now and then: what falls due meanwhile happens
- * all at once afterwards, and time has gone on.
+ * The clock of a process that tests can freeze, delay and kill. Time goes on while the process is frozen; timers that
+ * become due and messages that arrive meanwhile take effect when it resumes.
  */
 export class FakeProcess implements Clock {
-  #thaw: Promise<void> | undefined;
+  #resumed: Promise<void> | undefined;
   #killed = false;
-  /** How much longer every timer and every message takes. */
+  /** Delay that is added to every timer and every message. */
   delayMs = 0;
 
   constructor(private readonly clock: FakeClock) {}
@@ -102,10 +102,10 @@
 
   async sleep(ms: number, signal?: AbortSignal): Promise<void> {
     await this.clock.sleep(ms, signal);
-    await this.#goesOn();
+    await this.#untilRunning();
   }
 
-  /** Nothing that the process began continues. */
+  /** Kills the process: its pending timers and requests never complete. */
   kill(): void {
     this.#killed = true;
   }
@@ -115,38 +115,39 @@
   }
 
   get isFrozen(): boolean {
-    return this.#thaw !== undefined;
+    return this.#resumed !== undefined;
   }
 
-  async #goesOn(): Promise<void> {
+  async #untilRunning(): Promise<void> {
     if (this.delayMs > 0) await this.clock.sleep(this.delayMs);
-    await this.#thaw;
+    await this.#resumed;
     if (this.#killed) await new Promise(() => undefined);
   }
 
-  /** The process resumes when the function that is returned is called. */
+  /** Freezes the process. Returns a function that resumes it. */
   freeze(): () => void {
-    let thaw: () => void = () => undefined;
-    this.#thaw = new Promise((resolve) => {
-      thaw = resolve;
+    let resume: () => void = () => undefined;
+    this.#resumed = new Promise((resolve) => {
+      resume = resolve;
     });
     return () => {
-      this.#thaw = undefined;
-      thaw();
+      this.#resumed = undefined;
+      resume();
     };
   }
 
-  /** What comes from outside waits until the process resumes. */
+  /** Waits for a message or response, and then until the process runs. */
   async whenRunning<T>(from: Promise<T>): Promise<T> {
     try {
       return await from;
     } finally {
-      await this.#goesOn();
+      await this.#untilRunning();
     }
   }
 }
 
-/** Lets everything run that waits for nothing but its turn. */
-async function settle(): Promise<void> {
-  for (let turn = 0; turn < 3; turn += 1) await new Promise((resolve) => setImmediate(resolve));
+/** Runs all microtasks and immediates that don't wait for a timer of this clock. */
+async function drainEventLoop(): Promise<void> {
+  for (let iteration = 0; iteration < 3; iteration += 1)
+    await new Promise((resolve) => setImmediate(resolve));
 }
