--- a/test/load/admission.ts
+++ b/test/load/admission.ts
@@ -51,7 +51,7 @@
   ...(args.off ? {} : { operatorToml: ADMISSION }),
 });
 const network = new LoopbackNetwork();
-const state = new FakeKeyValueStore(realClock);
+const store = new FakeKeyValueStore(realClock);
 const jobProfiles = new Map<string, JobProfile>();
 const cloud = new LoadCloud({
   maxMachines: MACHINES,
@@ -61,7 +61,7 @@
   network,
   jobProfile: (job) => jobProfiles.get(job),
 });
-network.attach(STORE_ADDRESS, (request) => state.handle(request));
+network.attach(STORE_ADDRESS, (request) => store.handle(request));
 network.attach(CLOUD_ADDRESS, cloud.handle);
 const outcomes: Outcome[] = [];
 const counts = { submissions: 0, deferred: 0, otherRefusals: 0, compared: 0, differed: 0 };
@@ -105,7 +105,7 @@
 }
 
 const currentEpoch = (): unknown =>
-  (state.data.get('live/admission')?.data as { epoch?: number } | undefined)?.epoch;
+  (store.data.get('live/admission')?.data as { epoch?: number } | undefined)?.epoch;
 
 /** Sends one submission to all controllers at once; within one epoch, none may defer what another accepts. */
 async function compareControllers(): Promise<void> {
@@ -131,7 +131,7 @@
 setInterval(() => void compareControllers(), 500).unref();
 await realClock.sleep(WARM_UP_MS);
 const from = realClock.now();
-const writesBefore = state.revision;
+const writesBefore = store.revision;
 const countsBefore = { ...counts };
 await realClock.sleep(Number(args.seconds) * 1000);
 const measured = outcomes.filter(({ acceptedAt = 0 }) => acceptedAt >= from);
@@ -156,6 +156,6 @@
   otherRefusals: counts.otherRefusals - countsBefore.otherRefusals,
   compared: counts.compared,
   differed: counts.differed,
-  revisions: state.revision - writesBefore,
+  revisions: store.revision - writesBefore,
 });
 process.exit(0);
--- a/test/load/main.ts
+++ b/test/load/main.ts
@@ -67,7 +67,7 @@
 ];
 
 const network = new LoopbackNetwork();
-const state = new FakeKeyValueStore(realClock);
+const store = new FakeKeyValueStore(realClock);
 const jobProfiles = new Map<string, JobProfile>();
 const cloud = new LoadCloud({
   maxMachines: machines,
@@ -77,7 +77,7 @@
   network,
   jobProfile: (job) => jobProfiles.get(job),
 });
-network.attach(STORE_ADDRESS, (request) => state.handle(request));
+network.attach(STORE_ADDRESS, (request) => store.handle(request));
 network.attach(CLOUD_ADDRESS, cloud.handle);
 
 /** A time limit, so that a load that hangs or aborts leaves no controllers behind, which would distort the next. */
@@ -147,12 +147,12 @@
   for (let i = 0; i < 20 * perS * (machines / 1000); i += 1) void runUser(fields);
 }
 
-function printProfile(what: string, of: ControllerProcess, fromMs: number, toMs: number): void {
+function printProfile(label: string, controller: ControllerProcess, fromMs: number, toMs: number): void {
   if (args['no-profile']) return;
-  const file = readdirSync(of.profileDir)[0];
-  if (file === undefined) throw new Error(`no profile of ${of.name}`);
+  const file = readdirSync(controller.profileDir)[0];
+  if (file === undefined) throw new Error(`no profile of ${controller.name}`);
   const { busyMs, parts, functions } = sharesOf(
-    `${of.profileDir}/${file}`,
+    `${controller.profileDir}/${file}`,
     args.bundle.replace('main.js', 'program.js'),
     fromMs,
     toMs,
@@ -161,7 +161,7 @@
     .sort((a, b) => b[1] - a[1])
     .map(([p, ms]) => `${((100 * ms) / busyMs).toFixed(1).padStart(5)}% ${p}`);
   console.log(
-    `\n${what}, ${of.name}: ${Math.round(busyMs)} ms of computing in ${Math.round((toMs - fromMs) / 1000)} s`,
+    `\n${label}, ${controller.name}: ${Math.round(busyMs)} ms of computing in ${Math.round((toMs - fromMs) / 1000)} s`,
   );
   console.log(rows.join('\n'));
   const top = [...functions].sort((a, b) => b[1] - a[1]).slice(0, Number(args.functions));
@@ -171,14 +171,14 @@
 }
 
 const printUsage = (
-  what: string,
+  label: string,
   all: readonly ControllerProcess[],
   since?: readonly { cpuMs: number }[],
 ): void => {
   all.forEach((c, i) => {
     const { cpuMs, rssMb, peakMb } = usageOf(c);
     const spent = cpuMs - (since?.[i]?.cpuMs ?? 0);
-    console.log(`${what} ${c.name}: ${spent} ms of processor time, ${rssMb} MB now, ${peakMb} MB at most`);
+    console.log(`${label} ${c.name}: ${spent} ms of processor time, ${rssMb} MB now, ${peakMb} MB at most`);
   });
 };
 
@@ -230,7 +230,7 @@
 if (owner) printProfile('takeover', owner, 0, failoverEndedAt - owner.startedAt);
 process.exit(0);
 
-function profileSizeOf(of: ControllerProcess): number {
-  const file = readdirSync(of.profileDir)[0];
-  return file === undefined ? 0 : readFileSync(`${of.profileDir}/${file}`).length;
+function profileSizeOf(controller: ControllerProcess): number {
+  const file = readdirSync(controller.profileDir)[0];
+  return file === undefined ? 0 : readFileSync(`${controller.profileDir}/${file}`).length;
 }
