--- a/src/admission/fair-shares.ts
+++ b/src/admission/fair-shares.ts
@@ -1,24 +1,24 @@
 /** @file Divides capacity among classes and teams by their weights. */
 import { flowKey, type Flow } from './flow';
 
-/** Weights of classes and of teams; what isn't named has the default weight. */
+/** Weights of classes and teams, by name. */
 export interface Weights {
   readonly classes: Readonly<Record<string, number>>;
   readonly teams: Readonly<Record<string, number>>;
 }
 
-/** Weight of a class or team that has none of its own. */
+/** The weight of a class or team that is not listed in `Weights`. */
 export const DEFAULT_WEIGHT = 1;
 
-/** A part that wants some of an amount. */
+/** One of the demands among which an amount is divided. */
 export interface WeightedDemand<Key> {
   readonly key: Key;
   readonly weight: number;
-  /** The most that it can use; `Infinity` when it can use all. */
+  /** The most that it can use; `Infinity` if unlimited. */
   readonly demand: number;
 }
 
-/** What a flow wants of the capacity that is to be divided. */
+/** A flow's demand for a part of the capacity that is divided. */
 export interface FlowDemand extends Flow {
   readonly demand: number;
 }
@@ -26,15 +26,15 @@
 const EPSILON = 1e-9;
 
 /**
- * Weighted max-min fairness: an amount is divided in proportion to the weights, and what a claim can't use goes to the
- * others (Demers, Keshav and Shenker, "Analysis and Simulation of a Fair Queueing Algorithm", 1989).
+ * Weighted max-min fairness: divides an amount in proportion to the weights. A share's excess over its demand is
+ * divided among the others (Demers, Keshav and Shenker, "Analysis and Simulation of a Fair Queueing Algorithm", 1989).
  */
 export function maxMinFairShares<Key>(
   amount: number,
-  claims: readonly WeightedDemand<Key>[],
+  demands: readonly WeightedDemand<Key>[],
 ): Map<Key, number> {
-  const shares = new Map<Key, number>(claims.map(({ key }) => [key, 0]));
-  let unsatisfied = claims.filter(({ demand, weight }) => demand > 0 && weight > 0);
+  const shares = new Map<Key, number>(demands.map(({ key }) => [key, 0]));
+  let unsatisfied = demands.filter(({ demand, weight }) => demand > 0 && weight > 0);
   let remaining = amount;
   while (unsatisfied.length > 0 && remaining > EPSILON) {
     const totalWeight = unsatisfied.reduce((sum, { weight }) => sum + weight, 0);
@@ -48,42 +48,42 @@
       shares.set(key, demand);
       remaining -= demand;
     }
-    unsatisfied = unsatisfied.filter((claim) => !satisfied.includes(claim));
+    unsatisfied = unsatisfied.filter((entry) => !satisfied.includes(entry));
   }
   return shares;
 }
 
-/** Divides an amount among classes first, then within each class among its teams. The result is by `flowKey`. */
+/** Divides an amount first among classes, then the share of each class among its teams. Returns shares by `flowKey`. */
 export function fairSharesByFlow(
   amount: number,
-  claims: readonly FlowDemand[],
+  demands: readonly FlowDemand[],
   weights: Weights,
 ): Map<string, number> {
   const byClass = new Map<string, FlowDemand[]>();
-  for (const claim of claims) {
-    byClass.set(claim.jobClass, [...(byClass.get(claim.jobClass) ?? []), claim]);
+  for (const flowDemand of demands) {
+    byClass.set(flowDemand.jobClass, [...(byClass.get(flowDemand.jobClass) ?? []), flowDemand]);
   }
-  const classClaims = [...byClass].map(([key, members]) => ({
+  const classDemands = [...byClass].map(([key, members]) => ({
     key,
     weight: weights.classes[key] ?? DEFAULT_WEIGHT,
     demand: members.reduce((sum, { demand }) => sum + demand, 0),
   }));
-  const classShares = maxMinFairShares(amount, classClaims);
+  const classShares = maxMinFairShares(amount, classDemands);
   const shares = new Map<string, number>();
   for (const [jobClass, members] of byClass) {
-    const teamClaims = members.map(({ team, demand }) => ({
+    const teamDemands = members.map(({ team, demand }) => ({
       key: team,
       weight: weights.teams[team] ?? DEFAULT_WEIGHT,
       demand,
     }));
-    for (const [team, share] of maxMinFairShares(classShares.get(jobClass) ?? 0, teamClaims)) {
+    for (const [team, share] of maxMinFairShares(classShares.get(jobClass) ?? 0, teamDemands)) {
       shares.set(flowKey({ jobClass, team }), share);
     }
   }
   return shares;
 }
 
-/** What a deployment's settings say of a team. */
+/** A team's guaranteed capacity, from the deployment's settings. */
 export interface TeamGuarantee {
   readonly name: string;
   /** Guaranteed CPUs; 0 for none. */
@@ -91,8 +91,8 @@
 }
 
 /**
- * The weights in force: the operator's where there are any; otherwise classes are equal and teams are weighted by their
- * guarantees. A team without a guarantee counts like the smallest one with a guarantee, so that it isn't starved.
+ * The operator's weights, completed by defaults: classes have equal weights, and a team's weight is its guaranteed
+ * CPUs. A team without a guarantee gets the weight of the team with the smallest guarantee, so that it isn't starved.
  */
 export function effectiveWeights(configured: Weights, teams: readonly TeamGuarantee[]): Weights {
   const guarantees = teams.map(({ cpus }) => cpus).filter((cpus) => cpus > 0);
