--- a/test/load/admission.ts
+++ b/test/load/admission.ts
@@ -1,4 +1,4 @@
-/** @file Fair admission with three real controllers on the loopback range, ten minutes scaled down. */
+/** @file Fair admission with three real controllers on the loopback range, scaled down from ten minutes. */
 import { parseArgs } from 'node:util';
 import { NoResponseError, type HttpResponse } from '../../src/transport/http-client';
 import { FakeKeyValueStore } from '../fakes/key-value-store';
@@ -10,7 +10,7 @@
 
 const { values: args } = parseArgs({
   options: {
-    /** Seconds that are measured, after the debts of the beginning were repaid. */
+    /** Seconds that are measured, after a warm-up in which the debts of the initial jobs are repaid. */
     seconds: { type: 'string', default: '120' },
     out: { type: 'string', default: 'target/load/admission' },
     bundle: { type: 'string', default: 'target/load/main.js' },
@@ -18,14 +18,14 @@
   },
 });
 
-/** Of these the cloud has two spot machines and an ordinary one. */
+/** The cloud rounds both shares down, so that it has two spot machines and one on-demand machine. */
 const MACHINES = 4;
 const CAPACITY_CPUS = 16 * 3;
 const TASKS = 8;
 const TASK_S = 4;
 const GIVE_UP_AFTER_MS = 12_000;
 const WARM_UP_MS = 45_000;
-/** How many times the capacity each class asks for; each is entitled to a third. */
+/** The demand of each class as a multiple of the capacity; the fair share of each is a third. */
 const DEMAND = { bulk: 2, photo: 0.6, index: 0.5 } as const;
 type JobClass = keyof typeof DEMAND;
 const CLASSES = Object.keys(DEMAND) as JobClass[];
@@ -51,7 +51,7 @@
   ...(args.off ? {} : { operatorToml: ADMISSION }),
 });
 const network = new LoopbackNetwork();
-const state = new FakeKeyValueStore(realClock);
+const store = new FakeKeyValueStore(realClock);
 const jobProfiles = new Map<string, JobProfile>();
 const cloud = new LoadCloud({
   maxMachines: MACHINES,
@@ -61,7 +61,7 @@
   network,
   jobProfile: (job) => jobProfiles.get(job),
 });
-network.attach(STORE_ADDRESS, (request) => state.handle(request));
+network.attach(STORE_ADDRESS, (request) => store.handle(request));
 network.attach(CLOUD_ADDRESS, cloud.handle);
 const outcomes: Outcome[] = [];
 const counts = { submissions: 0, deferred: 0, otherRefusals: 0, compared: 0, differed: 0 };
@@ -99,25 +99,25 @@
     const { error, retryAfterS = 0 } = (body ?? {}) as { error?: string; retryAfterS?: number };
     if (error === 'deferred') counts.deferred += 1;
     else counts.otherRefusals += 1;
-    // Scaled down like the rest: a user who follows `Retry-After` up to 30 s would have given up.
+    // `Retry-After` is scaled down like the other times: after its full value, up to 30 s, users would have given up.
     await realClock.sleep(Math.min(3_000, Math.max(400, retryAfterS * 400)));
   }
 }
 
 const currentEpoch = (): unknown =>
-  (state.data.get('live/admission')?.data as { epoch?: number } | undefined)?.epoch;
+  (store.data.get('live/admission')?.data as { epoch?: number } | undefined)?.epoch;
 
-/** The same submission at all controllers at once: alike, unless the epoch moved on or it was admitted. */
+/** Sends one submission to all controllers at once; within one epoch, none may defer what another accepts. */
 async function compareControllers(): Promise<void> {
   const job = newJob('bulk', 1);
   const before = currentEpoch();
-  const answers = await Promise.all([0, 1, 2].map((index) => submitOnce(index, job)));
+  const responses = await Promise.all([0, 1, 2].map((index) => submitOnce(index, job)));
   if (before === undefined || currentEpoch() !== before) return;
   counts.compared += 1;
-  const deferred = answers.filter(
+  const deferred = responses.filter(
     ({ body }) => (body as { error?: string } | null)?.error === 'deferred',
   ).length;
-  const accepted = answers.filter(({ status }) => status === 200 || status === 201).length;
+  const accepted = responses.filter(({ status }) => status === 200 || status === 201).length;
   if (deferred > 0 && accepted > 0) counts.differed += 1;
 }
 
@@ -131,7 +131,7 @@
 setInterval(() => void compareControllers(), 500).unref();
 await realClock.sleep(WARM_UP_MS);
 const from = realClock.now();
-const writesBefore = state.revision;
+const writesBefore = store.revision;
 const countsBefore = { ...counts };
 await realClock.sleep(Number(args.seconds) * 1000);
 const measured = outcomes.filter(({ acceptedAt = 0 }) => acceptedAt >= from);
@@ -156,6 +156,6 @@
   otherRefusals: counts.otherRefusals - countsBefore.otherRefusals,
   compared: counts.compared,
   differed: counts.differed,
-  revisions: state.revision - writesBefore,
+  revisions: store.revision - writesBefore,
 });
 process.exit(0);
