--- a/src/bookkeeping/admission-policy.ts
+++ b/src/bookkeeping/admission-policy.ts
@@ -2,7 +2,7 @@
 import type { Job } from '../protocol/model';
 import type { Change, Condition } from '../protocol/key-value-store';
 
-/** A submission that admission control defers, and the time after which to submit it again. */
+/** Thrown when admission control defers a submission; contains the time after which to submit it again. */
 export class SubmissionDeferredError extends Error {
   override name = 'SubmissionDeferredError';
   constructor(
@@ -23,9 +23,9 @@
 export interface AdmissionPolicy {
   /** The terms of a job's acceptance. Throws `SubmissionDeferredError` if the submission is deferred. */
   termsFor(job: Job): Promise<AdmissionTerms>;
-  /** Takes a token for a read of whether a deferred job was accepted before. False: the rate limit forbids the read. */
+  /** Takes a token for a check whether a deferred job was accepted before. False: the rate limit forbids the check. */
   allowsLookUp(): Promise<boolean>;
-  /** Reads the records of the terms again whose conditions failed. True: there were some, so the terms may have changed. */
+  /** Reads the records of the terms' failed conditions again. True: there were some, so the terms may have changed. */
   refresh(terms: AdmissionTerms, failedKeys: readonly string[]): Promise<boolean>;
   /** Called after the transaction with this revision has accepted a job on these terms. */
   onAccepted(terms: AdmissionTerms, revision: number): void;
--- a/src/bookkeeping/bitmap.ts
+++ b/src/bookkeeping/bitmap.ts
@@ -1,6 +1,6 @@
 /** @file A bitmap of a job's completed tasks. */
 
-/** Which tasks of a job are done: one bit for each task, as the completion records store it for ranges of tasks. */
+/** The completed tasks of a job, with one bit for each task. Completion records store ranges of these bits. */
 export class Bitmap {
   readonly #bits: Uint8Array;
   #count = 0;
@@ -9,7 +9,7 @@
     this.#bits = new Uint8Array(Math.ceil(size / 8));
   }
 
-  /** How many bits are set. */
+  /** The number of bits that are set. */
   get count(): number {
     return this.#count;
   }
@@ -28,8 +28,8 @@
   }
 
   /**
-   * The bits from `first`, a multiple of 8, to `end` (exclusive) as base64 text. The bits in `additional` are also set in
-   * the text, but not in this bitmap.
+   * The bits from `first`, a multiple of 8, to `end` (exclusive) as a base64 string. The bits in `additional` are also
+   * set in the string, but not in this bitmap.
    */
   encode(first: number, end: number, additional: readonly number[] = []): string {
     const bytes = Buffer.from(this.#bits.subarray(first / 8, Math.ceil(end / 8)));
@@ -40,9 +40,9 @@
     return bytes.toString('base64');
   }
 
-  /** Sets the bits encoded in a text that starts at bit `first`; returns the tasks whose bits were not set before. */
-  merge(first: number, text: string): number[] {
-    const bytes = Buffer.from(text, 'base64');
+  /** Sets the bits of a base64 string that begins with bit `first`; returns the indexes of newly set bits. */
+  merge(first: number, encoded: string): number[] {
+    const bytes = Buffer.from(encoded, 'base64');
     const added: number[] = [];
     for (let byte = 0; byte < bytes.length; byte += 1) {
       const value = bytes[byte] ?? 0;
--- a/src/bookkeeping/cancellation.ts
+++ b/src/bookkeeping/cancellation.ts
@@ -11,7 +11,7 @@
   readonly final: FinalRecord;
 }
 
-/** Changes for each cancelled job: its final state is written, and its live record is deleted. */
+/** The number of changes for each cancelled job: its final state is written, and its live record is deleted. */
 export const CHANGES_PER_CANCELLATION = 2;
 
 /** The transaction that cancels all of the jobs, on the condition that each is still live and has no final state. */
--- a/src/bookkeeping/completion-records.ts
+++ b/src/bookkeeping/completion-records.ts
@@ -9,12 +9,12 @@
  */
 import { KEY, PREFIX, read } from './records';
 
-/** Part of the stored format: it determines the tasks that a chunk covers. */
+/** Part of the stored format, because it determines which tasks a chunk covers. */
 export const TASKS_PER_CHUNK = 65_536;
 /** Bytes of a value that are reserved for the JSON around the bits. */
 const OVERHEAD_BYTES = 64;
 
-/** Which records the completions of a job are written to. */
+/** The layout of the records to which the completions of a job are written. */
 export type CompletionLayout = { kind: 'chunks' } | { kind: 'parts'; partTasks: number };
 
 /** The properties of a job that determine its completion records. */
@@ -43,7 +43,7 @@
   bits: string;
 }
 
-/** The number of tasks whose bits fit one value as base64 text; a multiple of 8. */
+/** The number of tasks whose bits fit one value as a base64 string; a multiple of 8. */
 function tasksPerValue(valueBytes: number): number {
   const textBytes = Math.max(4, valueBytes - OVERHEAD_BYTES);
   return Math.floor(textBytes / 4) * 3 * 8;
--- a/src/bookkeeping/deletion-log.ts
+++ b/src/bookkeeping/deletion-log.ts
@@ -11,7 +11,7 @@
   readonly version: number;
 }
 
-/** Deletions of the keys of one kind. */
+/** Deletions of keys of one kind: their revisions, by key. */
 interface KindLog {
   readonly versions: Map<string, number>;
   /** All deletions of this kind after this revision are remembered. */
--- a/src/bookkeeping/dependency-records.ts
+++ b/src/bookkeeping/dependency-records.ts
@@ -7,7 +7,7 @@
 import { KEY, PREFIX, read, type DependencyPartRecord, type JobRecord } from './records';
 import type { WatchCache } from './watch-cache';
 
-/** Bytes of a value that are reserved for the text around the list itself. */
+/** Bytes of a value that are reserved for the JSON around the list of dependencies. */
 const RESERVED_BYTES = 128;
 /** The comma between two elements of a list. */
 const SEPARATOR_BYTES = 1;
@@ -16,7 +16,7 @@
 
 /** The key-value store's limit on conditions is this multiple of its limit on changes. */
 const CONDITIONS_PER_CHANGE = 4;
-/** Conditions of an acceptance on the job's own records. */
+/** The number of conditions of an acceptance that concern the job's own records. */
 const RESERVED_CONDITIONS = 2;
 
 /** Splits a list of job ids so that each part fits a value of the key-value store. */
@@ -43,7 +43,7 @@
   return key.slice(PREFIX.dependencyPart.length, key.lastIndexOf('/'));
 }
 
-/** The dependencies of a recorded job; undefined while parts of the list are missing from this controller's copy. */
+/** The dependencies of a recorded job; undefined while the watch cache lacks parts of the list. */
 export function recordedDependencies(record: JobRecord, cache: WatchCache): readonly string[] | undefined {
   const { id, dependencies } = record.job;
   if (record.dependencyParts === undefined) return dependencies ?? [];
--- a/src/bookkeeping/dependency-tracker.ts
+++ b/src/bookkeeping/dependency-tracker.ts
@@ -8,7 +8,7 @@
 import { KEY, PREFIX, read } from './records';
 import type { WatchCache } from './watch-cache';
 
-/** Interval between retries of outcomes that could not be read. */
+/** Interval between attempts to read the outcomes of dependencies that could not be read. */
 const RETRY_INTERVAL_MS = 500;
 const MAX_CONCURRENT_READS = 8;
 /**
@@ -29,7 +29,7 @@
   readonly #readyListeners: ReadyListener[] = [];
   /** Dependencies that have no live record in the watch cache, and whose outcome was not read yet. */
   readonly #unreadOutcomes = new Set<string>();
-  /** Jobs whose list of dependencies is stored in parts of which the watch cache lacks some. */
+  /** Jobs whose list of dependencies is incomplete, because the watch cache lacks some of its parts. */
   readonly #incompleteJobs = new Set<string>();
   readonly #wake: WakeSignal;
 
@@ -61,7 +61,7 @@
     return this.graph.isReady(id);
   }
 
-  /** Whether a dependency is live in the watch cache. No owner with an equally old or older cache has started the job. */
+  /** Whether a dependency is live in the watch cache. If so, no owner whose cache is as old or older started the job. */
   hasLiveDependency(id: string): boolean {
     return this.graph.dependenciesOf(id).some((dependency) => this.cache.get(KEY.job(dependency)));
   }
--- a/src/bookkeeping/dependent-cancellation.ts
+++ b/src/bookkeeping/dependent-cancellation.ts
@@ -36,7 +36,7 @@
 
   /**
    * Cancels all jobs that this controller knows to depend on a cancelled job, one transaction after another. Starts no
-   * transaction once the steady time `until` is reached.
+   * transaction once the monotonic time `until` is reached.
    */
   async cancelPending(until = Infinity): Promise<void> {
     const { changes, clock } = this.context;
--- a/src/bookkeeping/ended-jobs.ts
+++ b/src/bookkeeping/ended-jobs.ts
@@ -12,7 +12,7 @@
 interface EndedJob {
   readonly team: string;
   readonly usage: TaskUsage;
-  /** Steady time at which this controller learned of the end. */
+  /** Monotonic time at which this controller learned that the job had ended. */
   readonly endedAt: number;
 }
 
@@ -21,8 +21,8 @@
 const MAX_RESPONSE_DELAY_MS = 5_000;
 
 /**
- * Jobs that ended recently. Tasks of a cancelled job may run on an unreachable machine until the time limit for
- * cancellations: a controller that acquires a shard has to count them against the limits of their teams.
+ * Tracks jobs that ended recently. Tasks of a cancelled job may run on an unreachable machine until the time limit for
+ * cancellations, so a controller that acquires a shard has to count them against the limits of their teams.
  */
 export class EndedJobs {
   readonly #windowMs: number;
@@ -33,7 +33,7 @@
     private readonly cache: WatchCache,
     private readonly clock: Clock,
     cancelS: number,
-    /** Whether an ended job never had a task, because one of its dependencies was cancelled. */
+    /** Whether no task of an ended job was ever started, because one of its dependencies was cancelled. */
     neverStarted: (job: string) => boolean,
   ) {
     this.#windowMs = cancelS * MS_PER_S + MAX_RESPONSE_DELAY_MS;
@@ -56,7 +56,7 @@
     this.#ended = first < 0 ? [] : this.#ended.slice(first);
   }
 
-  /** Resources that tasks of ended jobs may still use, by team; undefined until the watch has covered the window. */
+  /** Resources that tasks of ended jobs may use, by team; undefined until the cache has been loaded for `#windowMs`. */
   usageByTeam(): Map<string, TaskUsage> | undefined {
     if (this.clock.now() - this.cache.loadedAt < this.#windowMs) return undefined;
     this.#forgetOld();
--- a/src/bookkeeping/final-states.ts
+++ b/src/bookkeeping/final-states.ts
@@ -10,7 +10,7 @@
 /** The final state of a job, as stored in the key-value store. */
 export interface FinalStatus extends JobStatus {
   readonly state: FinalState;
-  /** Time of day of the end in milliseconds; undefined if the record was written in record format 1. */
+  /** Wall-clock time of the end in milliseconds; undefined if the record was written in record format 1. */
   readonly endedAt: number | undefined;
 }
 
@@ -40,7 +40,7 @@
     return this.#statuses.get(id);
   }
 
-  /** The record of a final state. Controllers that only understand record format 1 can't read `endedAt`. */
+  /** The record of a final state. It omits `endedAt` until all controllers can read it, which needs record format 2. */
   record(state: FinalState, done: number, endedAt: number): FinalRecord {
     return this.formatGate.isOpenForFormat2 ? { state, done, endedAt } : { state, done };
   }
--- a/src/bookkeeping/job-acceptance.ts
+++ b/src/bookkeeping/job-acceptance.ts
@@ -18,7 +18,7 @@
 import { SubmittedDependencies } from './submitted-dependencies';
 import type { WatchCache } from './watch-cache';
 
-/** Maximum tries of an acceptance: a failed condition may mean that the admission terms have changed. */
+/** Maximum number of tries of an acceptance. It is retried when the admission terms may have changed. */
 const MAX_ADMISSION_TRIES = 5;
 
 /** The services and limits that `JobAcceptance` uses. */
@@ -93,8 +93,8 @@
   }
 
   /**
-   * Writes the record of a job if it is admitted. `job` is the job as submitted, `checked` the job without its done
-   * dependencies, which is stored. False: it may have been accepted before, or there was no response.
+   * Writes the record of a job if it is admitted. Admission decides on `job` as submitted; `checked`, which lacks the
+   * done dependencies, is stored. False: the job may have been accepted before, or there was no response.
    */
   async #writeIfAdmitted(job: Job, checked: Job): Promise<boolean> {
     const { store, clock, limits, admission, publish } = this.context;
--- a/src/bookkeeping/job-conditions.ts
+++ b/src/bookkeeping/job-conditions.ts
@@ -2,7 +2,7 @@
 import type { Condition } from '../protocol/key-value-store';
 import { KEY } from './records';
 
-/** Conditions: the job has not ended, and its live record has this version. Version 0: it was never accepted. */
+/** Conditions that a job has not ended and its live record has this version; for version 0, that it was never accepted. */
 export function unendedJobConditions(id: string, liveVersion: number): Condition[] {
   return [
     { key: KEY.job(id), version: liveVersion },
--- a/src/bookkeeping/job-graph.ts
+++ b/src/bookkeeping/job-graph.ts
@@ -1,10 +1,10 @@
 /** @file The dependencies among live jobs. */
 import type { FinalState } from '../protocol/model';
 
-/** How a job that others depend on ended. */
+/** The final state of a job that other jobs depend on. */
 export interface DependencyOutcome {
   readonly state: FinalState;
-  /** Time of day of its end in milliseconds; undefined if it was not recorded. */
+  /** Wall-clock time of its end in milliseconds; undefined if it was not recorded. */
   readonly endedAt: number | undefined;
 }
 
@@ -60,7 +60,7 @@
     return this.#dependents.get(job) ?? NO_JOBS;
   }
 
-  /** Jobs that others depend on, live or not. */
+  /** Jobs that live jobs depend on, whether live or ended. */
   dependencies(): Iterable<string> {
     return this.#dependents.keys();
   }
@@ -70,7 +70,7 @@
     return this.#outcomes.get(job);
   }
 
-  /** Whether every dependency is known to be done. Once true it stays true. */
+  /** Whether every dependency of the job is known to be done. Once true it stays true. */
   isReady(job: string): boolean {
     return this.#unfinishedCounts.get(job) === 0;
   }
@@ -161,7 +161,7 @@
     return ancestors;
   }
 
-  /** The time of day at which the last dependency ended; undefined if no such time is known. */
+  /** Wall-clock time at which the last dependency ended; undefined if no end time is known. */
   lastDependencyEndedAt(job: string): number | undefined {
     let last: number | undefined;
     for (const dependency of this.dependenciesOf(job)) {
--- a/src/bookkeeping/records.ts
+++ b/src/bookkeeping/records.ts
@@ -31,7 +31,7 @@
   types: 'live/types',
   typesPart: (part: number) => `live/types-part/${part}`,
   controller: (controller: string) => `live/node/${controller}`,
-  /** The newest record format that a controller understands; durable, see `FormatGate`. */
+  /** The newest record format that a controller understands; never deleted, and not bound to a lease. */
   format: (controller: string) => `live/format/${controller}`,
   shard: (shard: number) => `live/block/${shard}`,
   lease: (shard: number) => `live/lease/${shard}`,
@@ -42,11 +42,11 @@
   done: (id: string, chunk: number) => `live/done/${id}/${chunk}`,
   /** Completions of the tasks from `first` to `end` (exclusive). */
   bits: (id: string, first: number, end: number) => `live/bits/${id}/${first}-${end}`,
-  /** Present while the controller relays the leases of workers of the shard that reach it but not the owner. */
+  /** Present while `controller` relays leases in the shard, for workers that reach this controller but not the owner. */
   relay: (shard: number, controller: string) => `live/keep/${shard}/${controller}`,
   /** The admission epoch. */
   admission: 'live/admission',
-  /** The grants of the teams of a class in the epoch; `name` is derived from the class. */
+  /** The grants of a class's teams in the epoch; `name` is derived from the class. */
   admissionClass: (name: string) => `live/admission-class/${name}`,
   /** The work admitted for a flow; `name` is derived from its class and team. */
   admissionFlow: (name: string) => `live/admission-flow/${name}`,
@@ -91,13 +91,13 @@
   spot: z.boolean(),
   /** Set before the worker gets its first response, so a machine that isn't up has no tasks. */
   up: z.boolean(),
-  /** Time of day of the rental, used only for the machine's age. */
+  /** Wall-clock time of the rental or, for an adopted machine, of the adoption; used only for the machine's age. */
   rentedAt: z.number(),
 });
 const finalRecord = z.object({
   state: z.enum(['done', 'cancelled']),
   done: count,
-  /** Time of day of the end, in milliseconds; not part of record format 1. */
+  /** Wall-clock time of the end, in milliseconds; not part of record format 1. */
   endedAt: z.number().optional(),
 });
 const dependencyPartRecord = z.object({ dependencies: z.array(z.string()) });
@@ -138,7 +138,7 @@
   /** Time between two epochs of an overload, in milliseconds. */
   epochMs: z.number().positive(),
   weights: z.object({ classes: weights, teams: weights }),
-  /** CPU seconds that may be admitted for a flow without its own grant. */
+  /** The grant, in CPU seconds, of a flow that has no grant of its own in the epoch. */
   newFlowGrant: z.number(),
   /** Classes whose grants are part of the epoch; each class has its own record. */
   classes: z.array(z.string()),
--- a/src/bookkeeping/session.ts
+++ b/src/bookkeeping/session.ts
@@ -5,9 +5,9 @@
 import { KEY, read } from './records';
 import type { WatchCache } from './watch-cache';
 
-/** Largest relative drift of one controller's steady clock against another's; each drifts by up to 0.05%. */
+/** Largest relative drift of one controller's monotonic clock against another's; each drifts by up to 0.05%. */
 export const MAX_CLOCK_DRIFT = 0.001;
-/** Time between the end of validity and the expiry of the lease, because messages may still be in flight. */
+/** A session ends this long before its lease expires, because messages may still be in flight. */
 const STOP_MARGIN_MS = 400;
 const RENEWALS_PER_LEASE = 6;
 const LOAD_POLL_MS = 20;
@@ -41,7 +41,7 @@
     return this.#lease;
   }
 
-  /** The steady time until which the session is valid. */
+  /** The monotonic time until which the session is valid. */
   get validUntil(): number {
     if (this.#lease === undefined) return -Infinity;
     return Math.max(this.#validByOwnLeaseUntil, this.#extendedUntil);
@@ -49,8 +49,8 @@
 
   get #validByOwnLeaseUntil(): number {
     const { cache, ttlMs } = this.context;
-    // The lease is counted from when the renewal was sent. The age of the watch cache is limited in the same way, because
-    // a cache that is older than the lease could lack a cancellation.
+    // The lease counts from the time at which the renewal was sent. The age of the watch cache is limited in the same way,
+    // because a cache that is older than the lease could lack a cancellation.
     const base = Math.min(this.#renewedAt, cache.freshAt);
     return base + ttlMs * (1 - MAX_CLOCK_DRIFT) - STOP_MARGIN_MS;
   }
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Extends the validity: until then, no peer acquires anything that this controller holds, because all peers granted a
-   * lease extension. Has no effect on a session that is no longer valid.
+   * Extends the validity to `until`. Before that time no peer acquires anything that this controller holds, because all
+   * peers granted a lease extension. Has no effect on a session that is no longer valid.
    */
   extendUntil(until: number): void {
     if (this.isValid) this.#extendedUntil = Math.max(this.#extendedUntil, until);
@@ -96,8 +96,8 @@
     const key = KEY.controller(controllerId);
     const previous = read.controller((await store.get(key))?.value);
     if (previous) {
-      // This process replaced the previous process of this controller, which has ended. Its lease is revoked, so that
-      // other controllers don't have to wait for the expiry.
+      // This process replaced the previous process of this controller, which has ended. The old lease is revoked, so
+      // that other controllers don't have to wait for its expiry.
       await store.revokeLease(previous.lease);
       log.info({ lease: previous.lease }, 'controller lease of the previous process revoked');
     }
--- a/src/bookkeeping/shard-count.ts
+++ b/src/bookkeeping/shard-count.ts
@@ -5,7 +5,7 @@
 
 /**
  * The number of shards: the operator's setting, else the number that the first leader recorded, else the number derived
- * from this controller's quota. The recorded number precedes the derived one, because quotas differ between controllers
+ * from this controller's quota. The recorded number overrides the derived one, because quotas differ between controllers
  * while their machines are being replaced, and a team must never belong to two shards. It is read from the record of
  * shard 0, which is the first to be written.
  */
--- a/src/bookkeeping/submitted-dependencies.ts
+++ b/src/bookkeeping/submitted-dependencies.ts
@@ -11,7 +11,7 @@
 /** Maximum number of dependencies of a submission that are looked up at the same time. */
 const MAX_CONCURRENT_CHECKS = 8;
 
-/** A submission names a job that was never accepted, or itself. */
+/** Thrown when a submission names a job that was never accepted, or itself, as a dependency. */
 export class UnknownDependencyError extends Error {
   override name = 'UnknownDependencyError';
   constructor(readonly dependency: string) {
@@ -32,8 +32,8 @@
   constructor(private readonly context: SubmittedDependenciesContext) {}
 
   /**
-   * The job without its done dependencies: a done job stays done. Throws if a dependency was never accepted, or if that
-   * can't be determined now.
+   * The job without its done dependencies, which can be dropped because a done job stays done. Throws if a dependency was
+   * never accepted, or if that can't be determined now.
    */
   async withoutDoneDependencies(job: Job): Promise<Job> {
     const { dependencies, ...rest } = job;
--- a/src/bookkeeping/watch-cache.ts
+++ b/src/bookkeeping/watch-cache.ts
@@ -22,9 +22,9 @@
 /** Caches all live records, and keeps the cache up to date with one watch request after another. */
 export class WatchCache {
   readonly #entries = new Map<string, Entry>();
-  /** The entries by the first two parts of their keys, as listed in `PREFIX`. */
+  /** The entries by kind (the first two parts of their keys, as listed in `PREFIX`), and then by key. */
   readonly #entriesByKind = new Map<string, Map<string, Entry>>();
-  /** Deletions, including those notified ahead of the watch: a delayed older event must not restore the key. */
+  /** Deletions, including those received ahead of the watch, so that a delayed older event can't restore a deleted key. */
   readonly #deletions = new DeletionLog();
   readonly #listeners: Listener[] = [];
   #revision = 0;
@@ -45,12 +45,12 @@
     return this.#revision;
   }
 
-  /** Steady time at which the last successful request was sent: the cache contains everything written before it. */
+  /** Monotonic time at which the last successful request was sent: the cache contains everything written before it. */
   get freshAt(): number {
     return this.#freshAt;
   }
 
-  /** Steady time since which the cache has received every change. */
+  /** Monotonic time since which the cache has received every change; Infinity while it isn't loaded. */
   get loadedAt(): number {
     return this.#loadedAt;
   }
@@ -108,9 +108,9 @@
 
   /** Applies a change that was received ahead of the watch, from a peer or in a response. */
   applyNotification(event: ChangeEvent): void {
-    // The cache contains every change up to its revision, or a later change of the same key. A cache that is being loaded
-    // applies changes too: a page may have been read before a deletion, and a lease extension granted before the next
-    // watch succeeds would then lack that deletion.
+    // Changes up to the cache's revision are ignored: the cache contains them, or later changes of the same keys. A cache
+    // that is being loaded applies newer changes, too. A page may have been read before a deletion, and a lease extension
+    // granted before the next watch succeeds would then lack that deletion.
     if (event.version <= this.#revision) return;
     this.#apply(event);
   }
--- a/src/coordination/autoscaling/autoscaler-shard.ts
+++ b/src/coordination/autoscaling/autoscaler-shard.ts
@@ -15,6 +15,6 @@
   leaseCondition(): Condition;
   /** The tasks that the last round could not place, and a snapshot of the fleet; undefined before they are known. */
   scalingInput(isBackedOff: (option: InstanceOption) => boolean): ScalingInput | undefined;
-  /** Called when the cloud has confirmed that the machine is terminated, with all tasks on it. */
+  /** Called when the cloud has confirmed the machine's termination, which ends all tasks on it. */
   onMachineTerminated(machine: Machine): void;
 }
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -27,7 +27,7 @@
     return this.#rentals.isUnrecorded(id);
   }
 
-  /** Called at a heartbeat from a machine without a record. Returns the record, which the caller writes. */
+  /** Called for a heartbeat from an unrecorded machine. Returns the record to write if this owner rented the machine. */
   beginRegistration(id: string): MachineRecord | undefined {
     return this.#rentals.beginRegistration(id);
   }
--- a/src/coordination/autoscaling/cloud-inventory.ts
+++ b/src/coordination/autoscaling/cloud-inventory.ts
@@ -7,20 +7,20 @@
 
 const MIN_POLL_INTERVAL_MS = 6_000;
 /**
- * Minimum interval for each page of the list. The list of a large fleet takes many calls, and all controllers together
- * may make only a few a second: read every six seconds, it would leave hardly any calls to rent and delete machines.
+ * Minimum interval between reads of the list, per page. A large fleet's list takes many calls, and all controllers
+ * share a few calls a second. Reads every six seconds would leave hardly any calls to rent and delete machines.
  */
 const MIN_INTERVAL_PER_PAGE_MS = 2_000;
 /** How long the deletion of a machine's record is remembered; the list lags by less than this. */
 const DELETION_MEMORY_MS = 120_000;
 
 /**
- * The cloud's list of machines. It lags, and may show an older state than before. So it is used only to find failed
- * machines and machines without a record; a machine that is missing from it may still exist.
+ * The cloud's list of machines. It lags, and may show an older state than the previous read. So it is used only to find
+ * failed machines and machines without a record; a machine that is missing from it may still exist.
  */
 export class CloudInventory {
   #listed: ListedMachine[] = [];
-  /** When machines' records were deleted, by machine; a lagging list may still contain these machines. */
+  /** Monotonic times of recent deletions of machine records, by machine id. A lagging list may still contain these. */
   readonly #recordDeletedAt = new Map<string, number>();
 
   constructor(
@@ -36,7 +36,7 @@
     });
   }
 
-  /** The machines of the latest list; empty before the first. */
+  /** The machines in the latest list; empty before the list is first read. */
   machines(): readonly ListedMachine[] {
     return this.#listed;
   }
--- a/src/coordination/autoscaling/rental-recorder.ts
+++ b/src/coordination/autoscaling/rental-recorder.ts
@@ -20,7 +20,7 @@
 interface UnrecordedMachine {
   readonly option: InstanceOption;
   readonly rentedAt: number;
-  /** Its worker sends heartbeats, and `MachineRegistration` is recording it as up. */
+  /** Whether `MachineRegistration` is recording the machine as up, because its worker sends heartbeats. */
   isBeingRegistered: boolean;
 }
 
@@ -31,8 +31,8 @@
 }
 
 /**
- * Records rented machines. Within the limit on changes, recording hundreds of machines takes longer than renting them,
- * and users' requests have to be written in between.
+ * Records rented machines in small batches. Because of the limit on changes, recording hundreds of machines takes longer
+ * than renting them, and users' requests have to be written in between.
  */
 export class RentalRecorder {
   readonly #unrecorded = new Map<string, UnrecordedMachine>();
@@ -72,7 +72,7 @@
     return this.#unrecorded.has(id);
   }
 
-  /** Called at a heartbeat from a machine without a record. Returns the record, which the caller writes. */
+  /** Called for a heartbeat from an unrecorded machine. Returns the record to write if this owner rented the machine. */
   beginRegistration(id: string): MachineRecord | undefined {
     const rental = this.#unrecorded.get(id);
     if (!rental) return undefined;
@@ -84,7 +84,7 @@
   endRegistration(id: string, outcome: RegistrationOutcome): void {
     const rental = this.#unrecorded.get(id);
     if (rental) rental.isBeingRegistered = false;
-    // A conflict means that the leader has adopted the machine from the cloud's list.
+    // After a conflict the machine has a record, because the leader has adopted it from the cloud's list.
     if (outcome !== 'failed') this.#unrecorded.delete(id);
   }
 
@@ -130,7 +130,7 @@
     }
   }
 
-  /** Drops machines that have a record, because the leader adopted them; the others are retried. */
+  /** Drops machines that have a record, because the leader adopted them. The other machines are retried. */
   #onConflict(batch: readonly RecordWrite[], failedKeys: readonly string[]): void {
     for (const { id, put } of batch) if (failedKeys.includes(put.put)) this.#unrecorded.delete(id);
   }
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -24,8 +24,8 @@
   async step(signal: AbortSignal): Promise<void> {
     await this.context.clock.sleep(INTERVAL_MS, signal);
     if (signal.aborted || !this.owner.entitled) return;
-    // Records are deleted last, because that needs the key-value store: releasing a machine may be the only way to stop
-    // a cancelled task in time.
+    // Machines are released before records are deleted. A release may be the only way to stop a cancelled task in time,
+    // so it must not wait for the key-value store.
     await this.#releaseMachines();
     await this.#deleteRecords();
   }
--- a/src/coordination/autoscaling/scale-out.ts
+++ b/src/coordination/autoscaling/scale-out.ts
@@ -18,7 +18,7 @@
 
 /** Plans scaling, starts draining idle machines and rents new ones. */
 export class ScaleOut {
-  /** When the back-off of an option ends, by the key of the option. */
+  /** Monotonic time at which the back-off of an option ends, by `optionKey`. */
   readonly #backedOffUntil = new Map<string, number>();
 
   constructor(
@@ -51,7 +51,7 @@
     this.#backedOffUntil.set(optionKey(option), this.context.clock.now() + NO_CAPACITY_BACKOFF_MS);
   }
 
-  /** Rents in calls of the largest size that the cloud accepts; backs off when a call yields fewer machines. */
+  /** Rents in calls of the largest size that the cloud accepts; backs off when a call yields too few machines. */
   async #rent(request: ScaleOutRequest, signal: AbortSignal): Promise<void> {
     let left = request.count;
     while (left > 0 && !signal.aborted && this.owner.entitled) {
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Rents in one call with its retries; returns the number of machines. */
+  /** Rents machines in one call with its retries; returns the number of rented machines. */
   async #createMachines(option: InstanceOption, count: number, signal: AbortSignal): Promise<number> {
     // Each call has a random key of its own, which its retries repeat, so that a retry can't rent twice.
     const request: CreateMachinesRequest = {
--- a/src/coordination/autoscaling/scaling-input.ts
+++ b/src/coordination/autoscaling/scaling-input.ts
@@ -99,7 +99,7 @@
   return work;
 }
 
-/** Whether a job of high priority, or due to start soon, can't wait until running tasks free resources for it. */
+/** Whether the job can't wait until running tasks free resources: its priority is high, or it is due to start soon. */
 function isUrgent(shard: Shard, table: DispatchTable, maxBootMs: number): boolean {
   if (PRIORITY_RANK[table.job.priority] <= PRIORITY_RANK.high) return true;
   const startSlackMs = shard.startSlackMs(table);
--- a/src/coordination/autoscaling/scaling-plan.ts
+++ b/src/coordination/autoscaling/scaling-plan.ts
@@ -18,7 +18,7 @@
   readonly idleMs: number;
 }
 
-/** A machine type in a zone, as a spot or an ordinary machine, that can be rented. */
+/** A kind of machine to rent: a machine type in a zone, as a spot or an on-demand machine. */
 export type InstanceOption = MachineKind;
 
 /** A number of machines to rent, all of one option. */
@@ -32,7 +32,7 @@
   readonly count: number;
   /** Whether to rent for them rather than wait until running tasks free resources. */
   readonly isUrgent: boolean;
-  /** How long the tasks can still wait and end in time. */
+  /** How long the tasks can wait and still end in time. */
   readonly slackMs: number;
   /** How many of the job's tasks run, or may run, in each zone. */
   readonly tasksPerZone?: ReadonlyMap<string, number>;
@@ -50,7 +50,7 @@
   readonly freeingCpus: number;
   /** How long a machine must have been idle to be released. */
   readonly idleReleaseMs: number;
-  /** Whether all machines are confirmed; until then idle machines are kept, as some tasks may not be placed yet. */
+  /** Whether all machines are confirmed; until then some jobs are not placed, so idle machines are kept. */
   readonly areAllMachinesConfirmed: boolean;
   /** Idle CPUs to keep for tasks that should start at once. */
   readonly warmCpus: number;
@@ -125,10 +125,10 @@
   /** Assigns each of the tasks to a machine, as far as the options allow. */
   place(work: UnplacedWork): void {
     const { job } = work;
-    // Starts with the placed tasks: a machine in a zone that they rule out for the others would stay unused.
+    // Includes the placed tasks: a machine rented in a zone that they rule out for further tasks would stay unused.
     const zones: ZoneCounts = new Map(work.tasksPerZone);
     let left = work.count - this.#reserveFreeingCpus(work, zones);
-    // Free resources only shrink and task counts only grow: a bin that one task doesn't fit fits none after it.
+    // Free resources only shrink and task counts only grow, so later tasks don't fit a bin that one task doesn't fit.
     let index = 0;
     while (left > 0) {
       index = this.#nextBin(job, zones, index);
@@ -163,8 +163,8 @@
   }
 
   /**
-   * Whether the constraints of the job allow a running machine. The CPUs that running tasks free are summed over all
-   * zones and types; a job that may use none of them would wait for them as long as short tasks run elsewhere.
+   * Whether the job's constraints allow any running machine. `freeingCpus` is a sum over all zones and types, so without
+   * this check a job would wait as long as short tasks run on machines that it can't use.
    */
   #canUseRunningMachine(job: Job, zones: ZoneCounts): boolean {
     return this.input.machines.some(
@@ -222,7 +222,7 @@
       isBackedOff(option)
     )
       continue;
-    // Ordinary machines cost a multiple of spot machines, so tasks with enough slack wait for spot capacity.
+    // On-demand machines cost a multiple of spot machines, so tasks with enough slack wait for spot capacity.
     if (!option.spot && job.spot && slackMs > option.type.bootS * 1000 * SPOT_ONLY_SLACK_BOOT_TIMES) continue;
     // Spreads machines over zones of equal price, so that a zone failure affects fewer of them.
     const cost =
@@ -244,7 +244,7 @@
   return priceOf(machine) / machine.type.cpus;
 }
 
-/** Machines that were idle for long enough, the most expensive per CPU first, as long as `warmCpus` stay free. */
+/** Chooses machines that were idle for long enough, the most expensive per CPU first, while `warmCpus` CPUs stay free. */
 function chooseScaleIn(input: ScalingInput): string[] {
   const idle = input.machines.filter(
     (machine) =>
--- a/src/coordination/controller-context.ts
+++ b/src/coordination/controller-context.ts
@@ -41,6 +41,6 @@
   readonly workers: HttpCaller;
   /** The machine types that the cloud offers. */
   types(): readonly MachineType[];
-  /** Applies an acknowledged change to this controller's cache, and notifies the peers of it. */
+  /** Applies an acknowledged change to this controller's watch cache, and notifies the peers of it. */
   publish(event: ChangeEvent): void;
 }
--- a/src/coordination/controller-services.ts
+++ b/src/coordination/controller-services.ts
@@ -31,9 +31,9 @@
 
 const STORE_TIMEOUT_MS = 1_500;
 const CLOUD_TIMEOUT_MS = 5_000;
-/** Fraction of a shared rate limit that one controller may use: more than an equal share, because others use less. */
+/** Fraction of the store's rate limits that one controller may use: more than an equal share, as others use less. */
 const STORE_RATE_FRACTION = 0.6;
-/** Fraction of the request limit for look-ups of whether a deferred job was accepted; each takes up to two requests. */
+/** Fraction of the request limit for checks whether a deferred job was accepted; a check takes up to two requests. */
 const LOOK_UP_RATE_FRACTION = 0.05;
 const CLOUD_RATE_FRACTION = 0.7;
 const CLOUD_BURST = 2;
@@ -113,7 +113,7 @@
   });
 }
 
-/** Undefined if suspicion is off. */
+/** Returns undefined if suspicion is off. */
 function createSuspicion(
   settings: Settings,
   { clock, log }: Environment,
@@ -136,7 +136,7 @@
 ): { endedJobs: EndedJobs; dependencies: DependencyTracker } {
   const graph = new JobGraph();
   const neverStarted = (id: string): boolean => graph.isCancellationPending(id);
-  // Created before the tracker, so that its listener can still find the job in the graph: the tracker's removes it.
+  // Created before the tracker, whose listener removes an ended job from the graph: `endedJobs` must look it up before.
   const endedJobs = new EndedJobs(cache, clock, platform.deployment.workers.cancel_s, neverStarted);
   return { endedJobs, dependencies: new DependencyTracker(cache, finals, clock, graph) };
 }
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -82,9 +82,7 @@
     return this.#components.progress.withProgress(status);
   }
 
-  /**
-   * Cancels a job unless it is done, and its dependents as far as time allows; the leader cancels the others.
-   */
+  /** Cancels a job unless it is done, and its dependents as far as time allows. The leader cancels the remaining ones. */
   async cancel(id: string): Promise<JobStatus | undefined> {
     const { context, progress, dependentCancellation } = this.#components;
     const { clock, log, dependencies } = context;
@@ -97,7 +95,7 @@
     return status;
   }
 
-  /** Responds to a worker's heartbeat; with a promise only if the machine has to be recorded as up first. */
+  /** Responds to a worker's heartbeat. Returns a promise only if the machine has to be recorded as up first. */
   onHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatResponse | Promise<HeartbeatResponse> {
     return this.#components.heartbeatRouter.respond(heartbeat);
   }
--- a/src/coordination/environment.ts
+++ b/src/coordination/environment.ts
@@ -7,7 +7,7 @@
 /** Clock, randomness, log and connections that are injected into a controller. */
 export interface Environment {
   clock: Clock;
-  /** Steady time at which this process started, in milliseconds. */
+  /** Monotonic time at which this process started, in milliseconds. */
   startedAt: number;
   random: Random;
   log: Log;
--- a/src/coordination/feasibility.ts
+++ b/src/coordination/feasibility.ts
@@ -8,7 +8,7 @@
   readonly gpus_max: number;
 }
 
-/** Whether the job allows the type in some zone, and a task of it fits an empty machine of the type. */
+/** Whether the job allows the type in some zone, and one of its tasks fits an empty machine of the type. */
 function fitsMachineType(job: Job, type: MachineType): boolean {
   return (
     job.cpus <= type.cpus &&
--- a/src/coordination/heartbeat-router.ts
+++ b/src/coordination/heartbeat-router.ts
@@ -22,7 +22,7 @@
 export class HeartbeatRouter {
   constructor(private readonly components: HeartbeatRouterContext) {}
 
-  /** Responds to a heartbeat; without a promise, unless the machine has to be recorded as up first. */
+  /** Responds to a heartbeat. Returns a promise only if the machine has to be recorded as up first. */
   respond(heartbeat: WorkerHeartbeat): HeartbeatResponse | Promise<HeartbeatResponse> {
     const { context, acquisition } = this.components;
     if (!context.cache.isLoaded) return { kind: 'undecided' };
@@ -44,7 +44,7 @@
     reachability.recordRedirect(heartbeat.machine, record.block);
     const relayed = record.up ? leaseRelay.respond(heartbeat, record.block) : undefined;
     if (relayed) return { kind: 'accepted', ...relayed };
-    // If redirected to an unreachable owner, a worker would wait for a response until its lease expires.
+    // An unreachable owner is not named: a redirected worker would wait for its response until the worker's lease expires.
     const owner = reachability.isReachable(lease.owner, record.block) ? lease.owner : undefined;
     return { kind: 'redirect', owner };
   }
--- a/src/coordination/machine-types.ts
+++ b/src/coordination/machine-types.ts
@@ -12,7 +12,7 @@
 const REFRESH_INTERVAL_MS = 60_000;
 const CACHE_LOAD_POLL_MS = 20;
 
-/** The services that machine types are read from and written to. */
+/** The services and settings that `MachineTypes` uses. */
 export interface MachineTypesContext {
   readonly settings: Settings;
   readonly clock: Clock;
--- a/src/coordination/peer-messaging.ts
+++ b/src/coordination/peer-messaging.ts
@@ -8,7 +8,7 @@
 import type { Readiness } from './readiness';
 import type { ShardOwner } from './shard/shard-owner';
 
-/** The components that provide the content of heartbeats and that messages from peers are delivered to. */
+/** The components that provide the content of heartbeats, and that receive the messages from peers. */
 export interface PeerMessagingContext {
   readonly context: Pick<ControllerContext, 'cache' | 'controllerId' | 'log' | 'suspicion'>;
   readonly acquisition: { readonly owners: ReadonlyMap<number, ShardOwner> };
--- a/src/coordination/readiness.ts
+++ b/src/coordination/readiness.ts
@@ -3,9 +3,9 @@
 import type { ControllerContext } from './controller-context';
 import type { MachineTypes } from './machine-types';
 
-/** The view of the key-value store is fresh if a watch that was sent within this time got a response. */
+/** The view of the key-value store is fresh if a watch request that was sent within this time got a response. */
 const MAX_VIEW_AGE_MS = 4_000;
-/** How far apart controllers may detect the same outage: their watches end at different times, heartbeats follow. */
+/** Longest time between two detections of one outage: watches end at different times, and heartbeats report it later. */
 const OUTAGE_DETECTION_SPREAD_MS = 2_500;
 /** A controller that received no heartbeat from any peer for this long is probably partitioned. */
 const PEER_HEARTBEAT_TIMEOUT_MS = 3_500;
--- a/src/coordination/routes.ts
+++ b/src/coordination/routes.ts
@@ -69,14 +69,14 @@
     return response instanceof Promise ? response.then(replyToWorker) : replyToWorker(response);
   }
 
-  /** An accepted job's status, else the refusal: neither an invalid repeat nor new machine types undo an acceptance. */
+  /** An accepted job's status, else the refusal. Neither an invalid repeat nor new machine types undo an acceptance. */
   async #existingStatusOr(id: string, refusal: HttpReply): Promise<HttpReply> {
     const status = await this.controller.jobs.find(id);
     return status ? replyWithStatus(this.controller.withProgress(status)) : refusal;
   }
 }
 
-/** The routes of a controller. Each request that can't be decided at present is answered at once with 503. */
+/** The routes of a controller. Each request that can't be decided at present gets a 503 reply at once. */
 export function createRoutes(controller: Controller, log: Log): Route[] {
   const handlers = new RequestHandlers(controller, log);
   return [
--- a/src/coordination/scheduling/chain-urgency.ts
+++ b/src/coordination/scheduling/chain-urgency.ts
@@ -8,16 +8,16 @@
 export interface Urgency {
   /** The highest priority among the job and its dependents. */
   readonly priority: Priority;
-  /** The latest completion time (time of day) that lets all of them meet their deadlines; undefined without deadlines. */
+  /** The latest wall-clock time at which the job may end so that all deadlines are met; undefined without deadlines. */
   readonly latestFinishAt: number | undefined;
 }
 
 /** The fields of a live job that its dependencies inherit from. */
 export interface ChainJob {
   readonly priority: Priority;
-  /** The time of day of its own deadline, if it has one. */
+  /** Wall-clock time of the job's own deadline; undefined if it has none. */
   readonly dueAt: number | undefined;
-  /** The estimated run time of its tasks. */
+  /** The estimated run time of one of its tasks. */
   readonly expectedRunMs: number;
 }
 
@@ -87,7 +87,7 @@
   return urgencies;
 }
 
-/** The urgencies of the current job graph, recomputed only after the graph has changed. */
+/** Caches the urgencies of jobs, and recomputes them only after the job graph has changed. */
 export class ChainUrgency {
   #urgencies: ReadonlyMap<string, Urgency> = new Map();
   #version = -1;
--- a/src/coordination/scheduling/consolidation-pass.ts
+++ b/src/coordination/scheduling/consolidation-pass.ts
@@ -28,7 +28,7 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** Runs if the interval has passed, unless a task waits for resources: consolidation would take them from it. */
+  /** Runs if the interval has passed and no task waits for free resources, because moved tasks would occupy them. */
   runIfDue(now: number, isBacklogEmpty: boolean): void {
     if (now - this.#lastRunAt < INTERVAL_MS) return;
     this.#lastRunAt = now;
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -18,7 +18,7 @@
   readonly tasks: readonly MovableTask[];
 }
 
-/** A snapshot of the machines. */
+/** A snapshot of the machines, and the number of idle CPUs to keep. */
 export interface ConsolidationInput {
   readonly machines: readonly ConsolidationCandidate[];
   /** Idle CPUs to keep available for work that should start at once. */
@@ -33,9 +33,9 @@
 
 /** Spot machines with a larger share of their CPUs in use are not drained. */
 const MAX_SPOT_UTILIZATION = 0.5;
-/** The least gain, in seconds of machine time. Run time estimates are too imprecise for smaller gains. */
+/** The least gain of a drain, in seconds of machine time saved. Run time estimates are too imprecise for smaller gains. */
 const MIN_GAIN_S = 15;
-/** The least ratio of the gain to the cost of checkpointing the tasks, fetching their images and restarting them. */
+/** The least ratio of a drain's gain to its cost: the moved tasks write checkpoints and fetch their images again. */
 const MIN_GAIN_TO_COST = 2;
 /** How many machines one pass may drain in a small fleet. */
 const MAX_DRAINED_SMALL_FLEET = 4;
@@ -50,7 +50,7 @@
   return new ConsolidationPlanner(input).run();
 }
 
-/** The move of a task to another machine, from whose free resources those of the task are already subtracted. */
+/** A planned move of a task to another machine. `targetFree` no longer includes the resources for the task. */
 interface Move {
   readonly task: MovableTask;
   readonly target: ConsolidationCandidate;
@@ -63,7 +63,7 @@
   readonly #freeByMachine: Map<string, Resources>;
   /** Machines to which tasks may move: spot machines before on-demand machines, the most utilized first. */
   readonly #targets: readonly ConsolidationCandidate[];
-  /** Machines to which tasks are to move, so that they can't be drained. */
+  /** Machines that are targets of planned moves. They can't be drained in this pass. */
   readonly #chosenTargets = new Set<string>();
   #spareCpus: number;
 
@@ -148,7 +148,7 @@
   return target.spot === source.spot ? utilization(target) >= utilization(source) : target.spot;
 }
 
-/** Whether the task can move: not if zone constraints tie its zone to the zones of its job's other tasks. */
+/** Whether the task can move. With `oneZone` or `spread` it can't: its zone depends on those of the job's other tasks. */
 function isMovable({ job, canCheckpoint }: MovableTask): boolean {
   return canCheckpoint && !job.oneZone && !job.spread;
 }
--- a/src/coordination/scheduling/constraints.ts
+++ b/src/coordination/scheduling/constraints.ts
@@ -4,7 +4,7 @@
 /** Amounts that differ by less than this count as equal, because sums of decimal fractions have rounding errors. */
 export const RESOURCE_TOLERANCE = 1e-6;
 
-/** The attributes to which a job's constraints refer: those of a machine, or of a kind of machine that can be rented. */
+/** The attributes of a machine, or of a kind of machine to rent, to which a job's constraints refer. */
 export interface MachineKind {
   readonly type: MachineType;
   readonly zone: string;
--- a/src/coordination/scheduling/eager-reissue.ts
+++ b/src/coordination/scheduling/eager-reissue.ts
@@ -64,7 +64,7 @@
           machine.unresponsiveSince ?? Infinity,
         ),
         isBusy: machine.isBusy,
-        // The machine did not answer a probe, and jobs from before the failover are not placed until it is confirmed.
+        // Jobs from before the failover are not placed until this machine is confirmed, and it did not respond to a probe.
         blocksShard: !machine.isConfirmed && machine.isLastCommandUnanswered,
       });
     }
--- a/src/coordination/scheduling/eager.ts
+++ b/src/coordination/scheduling/eager.ts
@@ -1,13 +1,13 @@
-/** @file Chooses unresponsive machines whose tasks should be re-issued elsewhere, and those of them to release. */
+/** @file Chooses unresponsive machines: those whose tasks to re-issue elsewhere, and those to release. */
 
 /** The state of a machine whose heartbeats are monitored. */
 export interface MonitoredMachine {
   readonly id: string;
   readonly zone: string;
-  /** Steady time of its last heartbeat, or since when a heartbeat or an answer to a command has been expected. */
+  /** Monotonic time of its last heartbeat, or when it was first seen; if it became unresponsive earlier, that time. */
   readonly lastHeartbeatAt: number;
   readonly isBusy: boolean;
-  /** Whether jobs of the shard are not placed until the attempts on this machine are known. */
+  /** Whether jobs of the shard wait until the attempts on this machine are known. */
   readonly blocksShard: boolean;
 }
 
@@ -33,10 +33,10 @@
 
 /** Up to this many unresponsive machines, in one zone or in all zones together, count as independent failures. */
 const MAX_INDEPENDENT_FAILURES = 2;
-/** More unresponsive machines, and more than this share of all, are taken for a network partition on our side. */
+/** If the unresponsive machines exceed that number and this share, a network partition on our side is assumed. */
 const PARTITION_SHARE = 0.3;
 
-/** Chooses the machines whose heartbeats stopped because they failed, and which of them to release. */
+/** Chooses the unresponsive machines that probably failed and were not partitioned, and which of them to release. */
 export function chooseUnresponsiveMachines(input: UnresponsiveMachinesInput): UnresponsiveMachinesResult {
   const unresponsive = input.machines.filter((machine) => isUnresponsive(machine, input));
   unresponsive.sort((a, b) => sinceHeartbeatMs(b, input) - sinceHeartbeatMs(a, input));
--- a/src/coordination/scheduling/job-queue.ts
+++ b/src/coordination/scheduling/job-queue.ts
@@ -6,7 +6,7 @@
 export interface WaitingJob {
   readonly job: Job;
   readonly waitingTasks: number;
-  /** The number of its tasks that are, or may be, in each zone. */
+  /** The number of its tasks that run, or may run, in each zone. */
   readonly tasksPerZone: ReadonlyMap<string, number>;
   /** How long its tasks can still wait without missing the due time; negative if the job is already late. */
   readonly slackMs: number;
@@ -19,6 +19,7 @@
   readonly isBoosted: boolean;
   /** Whether any of its tasks has been issued or is done. */
   readonly hasStarted: boolean;
+  /** Wall-clock time since which it waits for machines: its submission, or the end of its last dependency. */
   readonly submittedAt: number;
 }
 
@@ -32,10 +33,9 @@
 }
 
 /**
- * Builds the queue in placement order: boosted entries first, the oldest job first; then by priority, with guaranteed
- * entries before regular ones; then by the least slack. Jobs that are already late come after those that can still be in
- * time, with the least remaining work first, because that serves most users. The boosted entries keep the largest late
- * jobs from starving.
+ * Builds the queue in placement order. Boosted entries come first. The others are ordered by priority, then guaranteed
+ * before regular ones. Of equal rank, jobs that can still be in time come first, by the least slack. Late jobs follow, by
+ * the least remaining work, because that serves most users. Boosted entries keep the largest late jobs from starving.
  */
 export function orderQueue(
   jobs: readonly WaitingJob[],
@@ -61,7 +61,7 @@
     : first.waiting.slackMs - second.waiting.slackMs;
 }
 
-/** Jobs that have not started come first: an older job that has started might use up its team's limit alone. */
+/** Unstarted jobs first, then the oldest: an old job that has started might use up its team's limit alone. */
 function compareBoosted(first: WaitingJob, second: WaitingJob): number {
   const byStart = Number(first.hasStarted) - Number(second.hasStarted);
   return byStart !== 0 ? byStart : first.submittedAt - second.submittedAt;
--- a/src/coordination/scheduling/lease-expiry.ts
+++ b/src/coordination/scheduling/lease-expiry.ts
@@ -4,7 +4,7 @@
 import type { Machine } from '../shard/machine';
 import type { Shard } from '../shard/shard';
 
-/** Tracks how late workers' leases may have been renewed, by this owner or by a relay, and drops attempts on expiry. */
+/** Tracks the latest possible renewal of workers' leases, by this owner or by a relay, and drops attempts on expiry. */
 export class LeaseExpiry {
   constructor(
     private readonly shard: Shard,
@@ -12,7 +12,7 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** Assumes that all leases were renewed just now, by a relay that is active or was until now. */
+  /** Assumes that all leases were renewed just now, because a relay is active or was active until now. */
   assumeAllRenewed(now: number): void {
     for (const machine of this.shard.machines.values()) {
       if (machine.isUp) machine.assumeHeartbeatAnswered(now);
@@ -26,10 +26,10 @@
 
   /**
    * Drops all attempts on machines whose workers' leases have expired. Neither this owner nor a relay can have renewed
-   * these leases in the meantime, so the workers have killed and forgotten their attempts.
+   * these leases, so the workers have killed and forgotten their attempts.
    */
   async dropExpired(): Promise<void> {
-    // Without the key-value store relays can't be ruled out. Releasing a machine still confirms that its tasks ended.
+    // Without the key-value store relays can't be ruled out, so nothing is dropped. A release still ends the tasks.
     if (this.context.store.isUnavailable || this.#expired(this.context.clock.now()).length === 0) return;
     if (!(await this.shard.confirmNotRelayed())) return;
     // The watch cache now contains all relay records that were written before the check.
--- a/src/coordination/scheduling/machine-retirement.ts
+++ b/src/coordination/scheduling/machine-retirement.ts
@@ -4,18 +4,18 @@
 import type { DrainReason, Machine } from '../shard/machine';
 import type { Shard } from '../shard/shard';
 
-/** An unresponsive machine may only be partitioned from us: it is given up this long after its worker's lease expired. */
+/** An unresponsive machine is given up this long after its worker's lease expired, as it may just be partitioned. */
 const GIVE_UP_AFTER_LEASE_MS = 20_000;
 
-/** The deadlines after which a machine that can't be used is drained, in steady time. */
+/** The monotonic times after which an unusable machine is drained. */
 export interface RetirementLimits {
-  /** When it should have booted. */
+  /** The latest time by which the machine should have booted. */
   readonly bootDeadline: number;
-  /** When it is given up if it is unresponsive. */
+  /** The time at which the machine is given up if it is unresponsive. */
   readonly giveUpAt: number;
 }
 
-/** Why a machine should be drained; undefined if it is in use, or may still become usable. */
+/** The reason to drain a machine; undefined if it is in use, or may still become usable. */
 export function retirementReason(
   machine: Pick<Machine, 'isUp' | 'hasSentHeartbeat' | 'isBusy'>,
   limits: RetirementLimits,
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Releasing an unreachable machine confirms that a cancelled task on it has ended. It is released even if so many
-   * machines are unresponsive that a partition is assumed, or other controllers relay the leases: a stalled worker
-   * receives neither the relay's commands nor ours.
+   * Drains unreachable machines with cancelled tasks, because their release confirms that these tasks have ended. They
+   * are drained even if so many machines are unresponsive that a partition is assumed, or if other controllers relay the
+   * leases: a stalled worker receives neither a relay's commands nor ours.
    */
   #drainUnreachableWithCancelledTasks(now: number): void {
     const { heartbeatTimeoutMs } = this.shard.timing;
--- a/src/coordination/scheduling/placement-pass.ts
+++ b/src/coordination/scheduling/placement-pass.ts
@@ -1,4 +1,4 @@
-/** @file Places waiting tasks on machines and issues them, over as many rounds as the queue takes. */
+/** @file Places waiting tasks on machines and issues them. A long queue takes several rounds. */
 import type { ControllerContext } from '../controller-context';
 import type { AttemptManager } from '../shard/attempt-manager';
 import type { Machine } from '../shard/machine';
@@ -90,7 +90,7 @@
     let totalCpus = 0;
     const machines = snapshotSchedulable(this.shard, now, (machine) => {
       totalCpus += machine.type.cpus;
-      // A boosted job may have to reserve a machine that has no free CPUs now.
+      // With boosted jobs no machine is left out, because they may have to reserve one that has no free CPUs now.
       if (!hasBoosted && machine.freeCpus + RESOURCE_TOLERANCE < minCpus) return undefined;
       return this.#describeCandidate(machine, now);
     });
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -8,6 +8,7 @@
 
 /** A machine on which tasks may be placed. */
 export interface PlacementCandidate extends MachineSnapshot {
+  /** Sizes of the cached images in GB, by image. */
   readonly cachedImages: ReadonlyMap<string, number>;
   /** The estimated time until its current tasks have ended; 0 if it is idle. */
   readonly busyForS: number;
@@ -27,9 +28,9 @@
   readonly machines: readonly PlacementCandidate[];
   readonly quotas: ReadonlyMap<string, TeamQuota>;
   readonly usage: ReadonlyMap<string, TeamUsage>;
-  /** CPUs that boosted jobs may still use of their share of the fleet. */
+  /** CPUs that are still unused in the share of the fleet that is reserved for boosted jobs. */
   readonly boostedCpusLeft: number;
-  /** Whether any boosted task is on a machine. If not, one may be placed even if it is larger than the whole share. */
+  /** Whether any boosted task is on a machine. If not, one may be placed even if it is larger than that share. */
   readonly hasBoostedTasks: boolean;
   /** The index of the first queue entry to process: where the last round stopped. */
   readonly cursor: number;
@@ -48,7 +49,7 @@
 
 /** How many machines one round may reserve for boosted jobs that fit nowhere yet. */
 const MAX_RESERVED_MACHINES = 8;
-/** The only group of unplaceable sizes: the tasks of all jobs and teams compete for the same free resources. */
+/** The only group in `UnplaceableSizes`, because the tasks of all jobs and teams compete for the same free resources. */
 const SHARED_GROUP = '';
 
 /** Places waiting tasks until the end of the queue, or until the round's time budget is used up. */
@@ -63,7 +64,7 @@
   readonly kind: QueueEntry['kind'];
   readonly quota: TeamQuota;
   readonly usage: { cpus: number; gpus: number };
-  /** The number of the job's tasks that are, or may be, in each zone. */
+  /** The number of the job's tasks that run, or may run, in each zone. */
   readonly tasksPerZone: Map<string, number>;
   tasksLeft: number;
 }
@@ -206,7 +207,7 @@
     }
   }
 
-  /** Reserves a machine for a boosted job that fits nowhere: otherwise small tasks would fill each gap before it fits. */
+  /** Reserves a machine for a boosted job that fits nowhere. Otherwise small tasks would fill each gap before it fits. */
   #reserveMachine(entryState: EntryState): void {
     const machine = this.#earliestIdleMachine(entryState);
     if (machine === undefined) return;
@@ -227,7 +228,7 @@
     return best?.id;
   }
 
-  /** Counts the tasks left as unplaced, up to the team's upper limit: tasks beyond it don't wait for free resources. */
+  /** Counts the tasks left as unplaced, except those beyond the team's limit: they don't wait for free resources. */
   #countUnplaced({ job, kind, quota, usage, tasksLeft }: EntryState): void {
     if (kind !== 'regular' || tasksLeft <= 0 || !isWithinQuota(job, usage, quota)) return;
     const withinLimit =
--- a/src/coordination/scheduling/preemption-pass.ts
+++ b/src/coordination/scheduling/preemption-pass.ts
@@ -20,10 +20,10 @@
 const NEARLY_DONE_S = 5;
 /** The least time between two passes: a pass examines all running tasks, and evicted tasks take seconds to exit. */
 const MIN_INTERVAL_MS = 250;
-/** Limits the time spent on passes: the least interval is this many times what the round took up to the pass's end. */
+/** The least interval as a multiple of the round's time up to the end of its pass, to limit the time spent on passes. */
 const MIN_INTERVAL_PER_ROUND_TIME = 10;
 
-/** Preempts tasks for unplaced jobs. Passes take a limited share of the owner's time. */
+/** Preempts tasks for unplaced jobs. Passes take a limited share of the shard owner's time. */
 export class PreemptionPass {
   #nextRunAt = -Infinity;
 
@@ -54,7 +54,7 @@
   ): void {
     const usage = this.shard.usageByTeam();
     const jobs = this.#jobsThatMayPreempt(queue, unplaced, usage);
-    // The usual case: examining all running tasks in vain took a tenth of the owner's time (docs/PERFORMANCE.md).
+    // Usually there are none, and examining all running tasks took a tenth of the owner's time (docs/PERFORMANCE.md).
     if (jobs.length === 0) return;
     const input = { unplaced: jobs, machines: this.#observe(now), quotas: this.shard.teams, usage };
     for (const { key, machine } of choosePreemptions(input, timeIsUp).victims) {
@@ -76,7 +76,7 @@
     return jobs;
   }
 
-  /** Whether the job may preempt any task: one of lower priority, or another team's if its own is below its guarantee. */
+  /** Whether the job may preempt any task, by its priority or because its team is below its guarantee. */
   #mayPreemptAnyTask(job: Job, usage: ReadonlyMap<string, TeamUsage>): boolean {
     const quota = this.shard.teams.get(job.team);
     const usedCpus = usage.get(job.team)?.cpus ?? 0;
@@ -95,7 +95,7 @@
   }
 
   #describeTask(attempt: Attempt, job: Job, now: number): PreemptibleTask | undefined {
-    // Evicting an attempt that was issued a moment ago would make tasks displace each other repeatedly.
+    // A starting attempt was issued a moment ago. If it were evicted, tasks would displace each other repeatedly.
     if (attempt.phase === 'starting' || attempt.isBoosted) return undefined;
     // The task should end, and free its resources, too soon for an eviction to pay off.
     const hasRunningTime = attempt.runningSince !== undefined;
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -42,13 +42,13 @@
   readonly usage: ReadonlyMap<string, TeamUsage>;
 }
 
-/** The tasks to evict, each with its machine, and the number of machine examinations. */
+/** The attempt keys of the tasks to evict, each with its machine, and the number of machine examinations. */
 export interface PreemptionResult {
   victims: { key: string; machine: string }[];
   machinesExamined: number;
 }
 
-/** How long to let a running task write a checkpoint before it is evicted, and the seconds of run time lost. */
+/** The grace period with which a running task is evicted, and the seconds of run time that it loses. */
 export interface EvictionCost {
   /** Grace period for writing a checkpoint; 0 if the task is killed at once. */
   readonly graceS: number;
@@ -56,8 +56,8 @@
 }
 
 /**
- * The cost of evicting a task of the job after it has run for `ranS`. A task that wrote a checkpoint a moment ago loses
- * less if it is killed at once than a new checkpoint would take, and its resources become free sooner.
+ * The cost of evicting a task of the job after it has run for `ranS`. A task that wrote a checkpoint a moment ago is
+ * killed at once: it loses less run time than a new checkpoint takes, and its resources become free sooner.
  */
 export function evictionCost(job: Job, ranS: number): EvictionCost {
   if (job.checkpointS === 0) return { graceS: 0, lossS: ranS };
@@ -87,7 +87,7 @@
 /** The state of one preemption pass: free resources and teams' usage change with each task that is chosen. */
 class PreemptionPlanner {
   readonly #usageByTeam: Map<string, TeamUsage>;
-  /** The machine of each chosen victim, by the key of its attempt. */
+  /** The id of the machine of each chosen victim, by the victim's attempt key. */
   readonly #machineByVictim = new Map<string, string>();
   /** The free resources of each machine after all evictions that are in progress or chosen so far. */
   readonly #freeByMachine = new Map<string, Resources>();
@@ -116,7 +116,7 @@
 
   #preemptForJob(waiting: WaitingJob, count: number): void {
     const { job } = waiting;
-    // Which tasks may be evicted depends only on the waiting job's priority and on its team, which may have a guarantee.
+    // The tasks that a job may evict depend only on its priority and its team's guarantee, so both identify the group.
     const group = `${job.priority} ${job.team}`;
     if (this.#unplaceable.has(group, job)) return;
     const unplacedCount = this.#preemptForTasks(waiting, count);
@@ -186,13 +186,13 @@
   #mayEvict(waiting: Job, victim: PreemptibleTask): boolean {
     if (victim.isBeingEvicted || this.#machineByVictim.has(victim.key)) return false;
     if (PRIORITY_RANK[victim.job.priority] > PRIORITY_RANK[waiting.priority]) return true;
-    // A guarantee never evicts a task of higher priority. Placement goes by priority first, so after an eviction for the
-    // guarantee that task would evict the other one by its priority, and so on without end.
+    // A guarantee never evicts a task of higher priority. Because of its priority, that task would be placed first and
+    // evict the other one in turn, and so on without end.
     if (PRIORITY_RANK[victim.job.priority] < PRIORITY_RANK[waiting.priority]) return false;
     return this.#isAllowedByGuarantee(waiting, victim.job);
   }
 
-  /** Whether the waiting task is within its team's guarantee, and the victim's team is beyond its own. */
+  /** Whether the waiting task fits into its team's guarantee, and the victim's team keeps its own without the victim. */
   #isAllowedByGuarantee(waiting: Job, victim: Job): boolean {
     if (victim.team === waiting.team) return false;
     const waitingQuota = this.input.quotas.get(waiting.team);
@@ -226,7 +226,7 @@
   }
 }
 
-/** The lowest priority first, then the least loss. */
+/** Orders the tasks to evict: the lowest priority first, then the least loss. */
 function compareVictims(first: PreemptibleTask, second: PreemptibleTask): number {
   return PRIORITY_RANK[second.job.priority] - PRIORITY_RANK[first.job.priority] || first.lossS - second.lossS;
 }
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,4 +1,4 @@
-/** @file The scheduling of a shard: which pass runs when, and within which time budget. */
+/** @file Runs the scheduling passes of a shard, and limits the time that a round takes. */
 import { buildScalingInput } from '../autoscaling/scaling-input';
 import type { InstanceOption, ScalingInput } from '../autoscaling/scaling-plan';
 import type { ControllerContext } from '../controller-context';
@@ -44,7 +44,7 @@
     return this.#placement.unplaced;
   }
 
-  /** Runs the passes over all machines, which need not run in every round. */
+  /** Runs the passes over all machines. They need not run in every round. */
   runPeriodicTasks(now: number): void {
     this.#leaseExpiry.assumeRenewedIfRelayed(now);
     evictBeforeSpotNotices(this.shard, this.attempts, now);
@@ -76,7 +76,7 @@
     return () => clock.now() > endAt;
   }
 
-  /** Assumes that all workers' leases were renewed just now: a relay is active, or was until now. */
+  /** Assumes that all workers' leases were renewed just now, because a relay is active or was active until now. */
   assumeAllLeasesRenewed(now: number): void {
     this.#leaseExpiry.assumeAllRenewed(now);
   }
@@ -86,7 +86,7 @@
     return this.#leaseExpiry.dropExpired();
   }
 
-  /** The unplaced tasks and the fleet, for scaling; undefined while it isn't known which tasks can't be placed. */
+  /** The unplaced tasks and the fleet, from which scaling is planned; undefined while the unplaced tasks are not known. */
   scalingInput(isBackedOff: (option: InstanceOption) => boolean): ScalingInput | undefined {
     if (!this.#placement.hasCompleted) return undefined;
     if (!this.shard.areAllMachinesConfirmed && this.unplaced.size === 0) return undefined;
--- a/src/coordination/scheduling/spot-notices.ts
+++ b/src/coordination/scheduling/spot-notices.ts
@@ -10,7 +10,7 @@
 /** A task on a machine that received a spot interruption notice. */
 export interface TaskUnderSpotNotice {
   readonly job: Job;
-  /** Whether it is running, so that it can end or write a checkpoint in time. While it fetches its image it can't. */
+  /** Whether the task is running. While it still fetches its image, it can neither end nor write a checkpoint in time. */
   readonly isRunning: boolean;
   /** The estimated remaining run time. */
   readonly remainingMs: number;
@@ -26,7 +26,7 @@
   const { job, isRunning, remainingMs, untilInterruptionMs } = task;
   if (isRunning && remainingMs < untilInterruptionMs - NOTICE_MARGIN_MS) return { kind: 'continue' };
   const graceS = job.checkpointS > 0 && isRunning ? job.saveS : 0;
-  // A task that can write a checkpoint runs on until the latest time for that. Any other task is re-issued at once.
+  // A task that can write a checkpoint runs on until it has to begin writing. Any other task is re-issued at once.
   if (graceS > 0 && untilInterruptionMs > job.saveS * 1000 + 2 * NOTICE_MARGIN_MS)
     return { kind: 'continue' };
   return { kind: 'evict', graceS };
--- a/src/coordination/scheduling/team-quota.ts
+++ b/src/coordination/scheduling/team-quota.ts
@@ -8,7 +8,7 @@
   readonly gpus: number;
 }
 
-/** A team's guarantee (`cpus`, `gpus`) and its upper limits, where 0 means none. */
+/** A team's guarantee (`cpus`, `gpus`) and its upper limits, where 0 means no limit. */
 export interface TeamQuota {
   readonly cpus: number;
   readonly cpus_max: number;
--- a/src/coordination/scheduling/unplaceable-sizes.ts
+++ b/src/coordination/scheduling/unplaceable-sizes.ts
@@ -2,7 +2,7 @@
 import type { Resources } from '../../protocol/model';
 import type { WaitingJob } from './job-queue';
 
-/** Task sizes that could not be placed in a round. Free resources only shrink during it, so larger sizes don't fit. */
+/** Remembers by group which task sizes did not fit in a round. Free resources only shrink, so larger sizes don't fit. */
 export class UnplaceableSizes {
   readonly #sizesByGroup = new Map<string, Resources[]>();
 
--- a/src/coordination/scheduling/waiting-jobs.ts
+++ b/src/coordination/scheduling/waiting-jobs.ts
@@ -10,8 +10,8 @@
   for (const table of shard.tables.values()) {
     shard.updatePriority(table);
     if (table.unassigned === 0 || !shard.areDependenciesDone(table) || table.retryAt > now) continue;
-    // Tasks of a job accepted before this owner acquired the shard may already run on unconfirmed machines. Jobs accepted
-    // later have none there; what their team may occupy there counts against its limit.
+    // Tasks of a job accepted before this owner acquired the shard may already run on unconfirmed machines, so the job
+    // waits. Later jobs have no tasks there; resources that their team may occupy there count against its limit.
     if (!areAllMachinesConfirmed && table.version <= shard.acquiredRevision) continue;
     waiting.push(describeWaitingJob(shard, table, boostAfterMs, now));
   }
@@ -36,8 +36,7 @@
     remainingCpuS: table.remaining * job.cpus * expectedRunS,
     machinesToAvoid: table.machinesToAvoid(now),
     expectedRunS,
-    // Boosting the oldest jobs keeps a large late job from starving while more small or urgent work is submitted than the
-    // fleet can run.
+    // The boost keeps a large late job from starving while users submit more small or urgent work than the fleet can run.
     isBoosted:
       shard.waitedMs(table) > boostAfterMs && (!hasStarted || slackMs < 0) && !table.isJobLikelyFaulty,
     hasStarted,
