--- a/src/coordination/ownership/fencing-token-raiser.ts
+++ b/src/coordination/ownership/fencing-token-raiser.ts
@@ -50,8 +50,8 @@
 
   #isNeeded(sinceRaiseMs: number): boolean {
     if (sinceRaiseMs < MIN_RAISE_INTERVAL_MS) return false;
-    // Usually no attempt is unconfirmed, and iterating over all attempts of a thousand machines four times a second
-    // took a twentieth of the owner's time (docs/PERFORMANCE.md).
+    // Usually no start is unconfirmed, so a flag is checked first: iterating over all attempts of a thousand machines
+    // four times a second took a twentieth of the owner's time (docs/PERFORMANCE.md).
     if (!this.shard.hasUnconfirmedStarts && sinceRaiseMs < MIN_EXITED_RAISE_INTERVAL_MS) return false;
     const hasUnconfirmed = this.#hasUnconfirmedAttempt(sinceRaiseMs);
     if (!hasUnconfirmed) this.shard.hasUnconfirmedStarts = false;
--- a/src/coordination/ownership/leader.ts
+++ b/src/coordination/ownership/leader.ts
@@ -17,7 +17,7 @@
   readonly #machineAdoption: MachineAdoption;
   readonly #garbageCollector: RecordGarbageCollector;
 
-  /** `mayBeBoundByGrant`: whether a lease extension that a previous process granted may still be valid. */
+  /** `mayBeBoundByGrant`: whether a lease extension that a previous process of this controller granted may be valid. */
   constructor(
     private readonly context: ControllerContext,
     cloud: CloudInventory,
@@ -37,8 +37,8 @@
 
   /**
    * The condition by which a transaction succeeds only while this controller is the leader; undefined when it knows
-   * that it isn't. Callers get it right before each write: between two writes of one step another controller may have
-   * become the leader, and the version of that controller's record would guarantee nothing.
+   * that it isn't. Callers get a new condition right before each write: if another controller became the leader between
+   * two writes of one step, the version of its record would guarantee nothing.
    */
   leaderCondition(): Condition | undefined {
     return this.isLeader ? { key: KEY.leader, version: this.context.cache.version(KEY.leader) } : undefined;
--- a/src/coordination/ownership/lease-extension.ts
+++ b/src/coordination/ownership/lease-extension.ts
@@ -29,13 +29,13 @@
   #requestNumber = 0;
   /** Whether this controller may have an acquisition in progress. */
   #isAcquiring = false;
-  /** Steady time up to which grants given by this controller forbid it to acquire a shard. */
+  /** Monotonic time until which grants given by this controller forbid it to acquire a shard. */
   #acquisitionForbiddenUntil: number;
 
   constructor(
     private readonly context: ControllerContext,
     private readonly broadcast: (message: PeerMessage) => void,
-    /** Steady time at which this process began. */
+    /** Monotonic time at which this process began. */
     startedAt: number,
   ) {
     // The previous process of this controller may have granted a request that this process doesn't know of.
@@ -71,7 +71,7 @@
     });
   }
 
-  /** Grants a peer's request, or ignores it if this controller can reach the key-value store or sees another owner. */
+  /** Grants a peer's request unless the store is available, an acquisition is in progress, or the peer lost a shard. */
   onRequest(request: LeaseExtensionRequest): void {
     const { clock, store, cache, controllerId } = this.context;
     if (!store.isUnavailable || this.#isAcquiring || this.#hasLostShard(request.from)) return;
@@ -109,15 +109,15 @@
     session.extendUntil(until);
   }
 
-  /** Steady time up to which the grants of all peers are valid; -Infinity while one of them has granted nothing. */
+  /** Monotonic time until which the grants of all peers are valid; -Infinity while one of them has granted nothing. */
   #grantedUntil(): number {
     const { others } = this.context.settings.platform;
-    // Counted from the send time of the request, which is before any peer can have granted it.
+    // The grants count from the send time of the request, which is before any peer can have granted it.
     const oldest = Math.min(...others.map(({ node }) => this.#grantedRequestAt.get(node) ?? -Infinity));
     return oldest + LEASE_EXTENSION_MS * (1 - MAX_CLOCK_DRIFT) - SAFETY_MARGIN_MS;
   }
 
-  /** Whether a shard assigned to the controller is not leased by it, which that controller may not know of. */
+  /** Whether a shard is assigned to the controller but not leased by it. The controller may not know that yet. */
   #hasLostShard(controller: string): boolean {
     const { cache, settings } = this.context;
     for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
--- a/src/coordination/ownership/lease-relay.ts
+++ b/src/coordination/ownership/lease-relay.ts
@@ -7,7 +7,7 @@
 import type { PeerReachability } from '../../suspicion/peer-reachability';
 import type { ControllerContext } from '../controller-context';
 
-/** How long a controller continues to relay after the owner was last unreachable. */
+/** Time for which a controller continues to relay after the owner was last unreachable. */
 const LINGER_MS = 3_000;
 
 /** Stop commands for the reported attempts whose jobs have ended; each renewal of a worker's lease includes them. */
@@ -23,7 +23,7 @@
     }));
 }
 
-/** What a relay sends to a worker in response to its heartbeat. */
+/** The response of a relay to a worker's heartbeat. */
 export interface RelayResponse {
   readonly fencingToken: number;
   readonly commands: WorkerCommand[];
@@ -40,11 +40,11 @@
  */
 export class LeaseRelay {
   /**
-   * Shards for which this controller has an acknowledged relay record, with the lease that the record is bound to. An
-   * entry of an earlier lease doesn't count: the record was deleted with that lease, even if no step has run since.
+   * For each shard with an acknowledged relay record of this controller, the lease that the record is bound to. An
+   * entry of an earlier lease doesn't count, because its record ended with that lease, even if no step has run since.
    */
   readonly #relayed = new Map<number, number>();
-  /** Steady time when a relay of each shard was last needed. */
+  /** Monotonic time when a relay was last needed, by shard. */
   readonly #lastNeededAt = new Map<number, number>();
   readonly #startedAt: number;
 
@@ -74,7 +74,7 @@
     }
   }
 
-  /** Whether the owner of the shard is a peer that is unreachable, or was until a moment ago. */
+  /** Whether the owner of the shard is a peer that is unreachable, or was within the last `LINGER_MS`. */
   #isNeeded(shard: number, now: number): boolean {
     const { cache, controllerId } = this.context;
     const lease = read.lease(cache.get(KEY.lease(shard))?.value);
@@ -99,7 +99,7 @@
 
   async #deleteRecord(shard: number): Promise<void> {
     const key = this.#key(shard);
-    // Responses stop before the record is deleted, because the owner may then declare unresponsive workers dead.
+    // Responses stop before the record is deleted, because the owner may declare unresponsive workers dead after that.
     this.#relayed.delete(shard);
     await this.context.store.compareAndSwap(
       [{ key, version: this.context.cache.version(key) }],
@@ -113,10 +113,10 @@
   }
 
   /**
-   * The response to a worker's heartbeat if this controller relays its shard; only for a machine that has attempts. A
-   * lease extension by peers is not enough: during an outage of the key-value store no controller can raise the fencing
-   * token. A start command of the owner that is delayed until after the partition could then still be executed as long
-   * as the relay responds, although its job was cancelled long ago.
+   * The response to a worker's heartbeat if this controller relays its shard and the machine has attempts. A session
+   * that is valid only by a lease extension is not enough: during an outage of the key-value store no controller can
+   * raise the fencing token. If the relay responded, a delayed start command of the owner could still be executed after
+   * the partition, although its job was cancelled long ago.
    */
   respond(heartbeat: WorkerHeartbeat, shard: number): RelayResponse | undefined {
     const { cache, session, controllerId } = this.context;
--- a/src/coordination/ownership/machine-adoption.ts
+++ b/src/coordination/ownership/machine-adoption.ts
@@ -14,8 +14,8 @@
 const MAX_ADOPTIONS = 10;
 
 /**
- * Assigns machines without a record to the shard with the fewest machines. If the response to a rental was lost, or the
- * cloud executed it late, its machine appears only in the cloud's list.
+ * Assigns machines without a record to the shard with the fewest machines. Such a machine appears only in the cloud's
+ * list, because the response to its rental was lost or the cloud executed the rental late.
  */
 export class MachineAdoption {
   /** `leadershipCondition` makes a transaction fail unless this controller is the leader. */
@@ -32,7 +32,7 @@
     const leadership = this.leadershipCondition();
     if (unrecorded.length === 0 || !leadership) return;
     const shard = this.#shardWithFewestMachines();
-    // The time of adoption instead of the earlier rental, so that each machine gets the full boot time.
+    // `rentedAt` is set to the time of adoption, not of the rental, so that each machine gets the full boot time.
     const rentedAt = clock.date().getTime();
     const changes = unrecorded.map((machine) => ({
       put: KEY.machine(machine.id),
--- a/src/coordination/ownership/record-garbage-collector.ts
+++ b/src/coordination/ownership/record-garbage-collector.ts
@@ -9,8 +9,8 @@
 const MAX_DELETIONS = 8;
 
 /**
- * How long a dependency part has to be without its job before it is deleted. Parts are written before their job is
- * accepted, and a user repeats a submission for a minute; a part that is older than that belongs to no job.
+ * Minimum time that a dependency part is seen without its job before it is deleted. Parts are written before their job
+ * is accepted, and a user repeats a submission for a minute. A part without a job after that belongs to none.
  */
 const MIN_ORPHAN_PART_AGE_MS = 120_000;
 
@@ -18,7 +18,7 @@
 export interface OrphanRecord {
   readonly key: string;
   readonly version: number;
-  /** Key of the record that the job would have if it were live. */
+  /** Key of the job's record, which exists only while the job is live. */
   readonly job: string;
 }
 
@@ -27,11 +27,11 @@
 
 /**
  * Finds orphan records in the watch cache, and deletes them. A cancellation leaves the job's completion records behind.
- * So does the final write of a job if an earlier completion write got no response, because its writer doesn't know of
- * that record. Once the job's record is gone, nothing else would ever delete them.
+ * So does the final write of a job if an earlier completion write got no response, because its writer doesn't know that
+ * the earlier record exists. Once the job's record is gone, nothing else would ever delete them.
  */
 export class RecordGarbageCollector {
-  /** Steady time at which each dependency part was first seen without its job. */
+  /** Monotonic time at which a dependency part was first seen without its job, by the part's key. */
   readonly #withoutJobSince = new Map<string, number>();
 
   constructor(private readonly context: GarbageCollectorContext) {}
--- a/src/coordination/ownership/shard-acquisition.ts
+++ b/src/coordination/ownership/shard-acquisition.ts
@@ -12,15 +12,15 @@
 const CACHE_POLL_MS = 5;
 
 /**
- * The outcome for one shard. Lost: this controller's session ended, or the new lease was gone before the watch cache
+ * The outcome for one shard. `lost`: this controller's session ended, or the new lease was gone before the watch cache
  * showed it. The step then tries to acquire no other shard.
  */
 type AcquisitionOutcome = 'acquired' | 'refused' | 'lost';
 
 /**
- * The shards that this controller owns. A shard is owned from the transaction that acquires its lease until this
- * controller stops acting for it; the lease is deleted only after that, so two controllers never act for a shard at the
- * same time.
+ * Acquires and releases the shards of this controller. A shard is owned from the transaction that acquires its lease
+ * until this controller stops acting for it; the lease is deleted only after that, so two controllers never act for a
+ * shard at the same time.
  */
 export class ShardAcquisition {
   readonly #owners = new Map<number, ShardOwner>();
@@ -95,10 +95,10 @@
   }
 
   /**
-   * Deletes a lease of this controller that no `ShardOwner` uses, so that it can be acquired again. Either an
-   * acquisition without a response was applied after all, or an owner stopped without knowing the lease's version,
-   * because a raise of its fencing token got no response. Otherwise any controller that the shard is assigned to would
-   * wait until this controller's session ends.
+   * Deletes a lease of this controller that no `ShardOwner` uses, so that it can be acquired again. Such a lease
+   * remains if an acquisition without a response was applied after all, or if an owner didn't know the lease's version
+   * when it stopped, because a raise of its fencing token got no response. Without the deletion, the controller that
+   * the shard is assigned to would wait until this controller's session ends.
    */
   async #deleteLeaseWithoutOwner({ key, version }: Entry): Promise<void> {
     await this.context.store.compareAndSwap([{ key, version }], [{ delete: key }], 'urgent');
@@ -173,8 +173,8 @@
 
   /**
    * Whether this controller may acquire the shard. Lease extensions that it, or a previous process of it, may have
-   * granted forbid it for some time. They can't concern a shard that this controller held last, or any shard if none
-   * was ever held: it is acquired at once, because the leases of its workers are running out.
+   * granted forbid this for some time. They can't concern a shard that this controller held last, or any shard if none
+   * was ever held. Such a shard is acquired at once, because its workers' leases are running out.
    */
   #mayAcquire({ holder }: ShardRecord): boolean {
     const { cache, controllerId } = this.context;
--- a/src/coordination/ownership/shard-assignment.ts
+++ b/src/coordination/ownership/shard-assignment.ts
@@ -9,7 +9,7 @@
 /** Rebalancing moves a shard only between controllers whose shard counts differ by at least this number. */
 const MIN_IMBALANCE = 2;
 
-/** What to do in a step: return one shard to its last holder at once, or assign the shards that need an owner. */
+/** The plan for one step: return one shard to its last holder at once, or assign the shards that need an owner. */
 type AssignmentPlan =
   | { readonly kind: 'return to holder'; readonly shard: number; readonly holder: string }
   | { readonly kind: 'assign'; readonly unassigned: readonly number[] };
@@ -65,8 +65,8 @@
   }
 
   /**
-   * Whether the assigned owner is suspected before it has acquired the shard. Another controller may then be assigned
-   * at once: no controller holds the lease, and an acquisition by the suspect fails if the shard's record has changed.
+   * Whether the assigned owner is suspected before it has acquired the shard. Another controller may then be assigned,
+   * because no controller holds the lease, and an acquisition by the suspect fails if the shard's record has changed.
    */
   #isAssignmentStuck(shard: number, { owner }: ShardRecord): boolean {
     const { suspicion, cache, controllerId } = this.context;
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Writes the owner into the shard's record. False: this controller no longer leads, or the record has changed. */
+  /** Writes the owner into the shard's record. False if this controller no longer leads or the record has changed. */
   async #assign(shard: number, owner: string): Promise<boolean> {
     const { cache, store, log } = this.context;
     const leadership = this.leadershipCondition();
--- a/src/coordination/shard/attempt-manager.ts
+++ b/src/coordination/shard/attempt-manager.ts
@@ -12,7 +12,7 @@
 
 const UNKNOWN_JOB_PAUSE_MS = 1_000;
 
-/** Where `AttemptManager` signals pending commands and completed tasks. */
+/** The outputs by which `AttemptManager` signals pending commands and completed tasks. */
 export interface AttemptManagerOutputs {
   /** Machines with pending commands. */
   readonly commands: CommandQueue;
@@ -24,7 +24,7 @@
 export class AttemptManager {
   readonly #quarantine = new QuarantinePolicy();
   readonly #endedJobAttempts: EndedJobAttempts;
-  /** Whether there may be attempts that their job's dispatch table doesn't have. */
+  /** Whether the shard may have attempts that are missing from their jobs' dispatch tables. */
   #mayHaveSurplus = true;
 
   constructor(
@@ -63,7 +63,7 @@
     this.context.log.debug({ job, task, machine: id, attempt: number }, 'task issued');
   }
 
-  /** Schedules a stop command with `graceS` to save a checkpoint. A shorter grace period replaces a longer one. */
+  /** Schedules a stop command with `graceS` seconds to save a checkpoint. A shorter time replaces a longer one. */
   evict(machine: Machine, attempt: Attempt, graceS: number): void {
     if (attempt.phase === 'exited') return;
     if (attempt.eviction && attempt.eviction.graceS <= graceS) return;
@@ -89,15 +89,15 @@
     this.evict(machine, attempt, 0);
   }
 
-  /** Attempts of ended jobs whose eviction was not confirmed within the eviction timeout. */
+  /** Attempts of ended jobs, with their machines, that were not confirmed gone within the eviction timeout. */
   overdueEvictions(now: number): Iterable<[Attempt, Machine]> {
     return this.#endedJobAttempts.overdue(now);
   }
 
   /**
-   * Whether the worker may still execute a start command although the job ended longer ago than the eviction timeout:
-   * the fencing token can't be raised while the key-value store is unavailable. If the worker's heartbeats then get no
-   * response, its lease expires within the cancellation bound, and its next incarnation rejects the command.
+   * Whether the worker may still execute a start command of a job for which the eviction timeout has passed. In an
+   * outage of the key-value store the fencing token can't be raised to prevent this. If its heartbeats then get no
+   * response, its lease expires within the time limit for cancellations, and its next incarnation rejects the command.
    */
   hasUnconfirmedStartOfEndedJob(machine: Machine, now: number): boolean {
     return this.#endedJobAttempts.hasUnconfirmedStartOn(machine, now);
@@ -129,8 +129,8 @@
 
   /**
    * Handles an attempt that is gone, or exited without completing its task. The task becomes unassigned only if it has
-   * no other attempt on any machine. It can have two after a failover: a delayed heartbeat may report an attempt that
-   * was replaced long ago, and the table then has the replaced one.
+   * no other attempt on any machine. A task can have two attempts after a failover: a delayed heartbeat may report one
+   * that was replaced long ago, and the dispatch table may then contain the replaced one.
    */
   #onLost(table: DispatchTable, attempt: Attempt): void {
     if (!table.markLost(attempt.task, attempt.key)) return;
@@ -141,7 +141,7 @@
     }
   }
 
-  /** Once all machines are confirmed, evicts the attempts that their job's dispatch table doesn't have. */
+  /** Once all machines are confirmed, evicts the attempts that are missing from their jobs' dispatch tables. */
   evictSurplus(): void {
     if (!this.shard.areAllMachinesConfirmed || !this.#mayHaveSurplus) return;
     this.#mayHaveSurplus = false;
--- a/src/coordination/shard/attempt.ts
+++ b/src/coordination/shard/attempt.ts
@@ -14,7 +14,7 @@
 /** The worker's phases, and `starting`: the attempt is issued, but no message of its worker has reported it yet. */
 export type TrackedPhase = 'starting' | AttemptPhase;
 
-/** What an attempt needs of its machine, and the team that it runs for. */
+/** The resources and the image that an attempt needs on its machine, and its team. */
 export interface TaskDescription {
   readonly resources: Resources;
   readonly team: string;
@@ -22,7 +22,7 @@
   readonly imageGb: number;
 }
 
-/** The origin of an attempt: issued by this owner, or reported by its worker. */
+/** The identity and initial state of an attempt that this owner issues, or that a worker reports. */
 export interface AttemptOrigin {
   readonly job: string;
   readonly task: number;
@@ -44,7 +44,7 @@
   imageGb: 0,
 };
 
-/** Describes the tasks of a job; undefined means a job that the shard doesn't have: no team, no resources. */
+/** Describes the tasks of a job. For undefined, a job that the shard doesn't have, team and resources are empty. */
 export function describeTask(job: Job | undefined): TaskDescription {
   if (!job) return UNKNOWN_JOB;
   return { resources: job, team: job.team, image: job.image, imageGb: job.imageGb };
@@ -60,12 +60,12 @@
   return Math.floor(attempt / ATTEMPTS_PER_TOKEN);
 }
 
-/** Whether the attempt counts against its machine's resources. One whose start is unconfirmed does. */
+/** Whether the attempt counts against its machine's resources; an attempt whose start is unconfirmed does, too. */
 export function occupiesResources(attempt: Attempt): boolean {
   return attempt.phase !== 'exited';
 }
 
-/** Time since its owner first saw the attempt running; 0 before that. */
+/** Seconds since the shard's owner first saw the attempt running; 0 before that. */
 export function elapsedS(attempt: Attempt, now: number): number {
   return attempt.runningSince === undefined ? 0 : (now - attempt.runningSince) / 1000;
 }
@@ -115,22 +115,22 @@
     return this.#runningSince;
   }
 
-  /** Whether a command with its start was sent at least once. */
+  /** Whether its start command was sent at least once. */
   get wasStartSent(): boolean {
     return this.#wasStartSent;
   }
 
-  /** Whether a command with its start is in flight. */
+  /** Whether its start command is in flight. */
   get isStartInFlight(): boolean {
     return this.#isStartInFlight;
   }
 
-  /** Defined once the attempt is to be stopped; `graceS` is its time to save a checkpoint. */
+  /** Defined once the attempt is to be stopped; it has `graceS` seconds to save a checkpoint. */
   get eviction(): { readonly graceS: number } | undefined {
     return this.#eviction;
   }
 
-  /** When its owner learned that its job has ended. */
+  /** Time at which the shard's owner learned that the attempt's job has ended. */
   get jobEndedAt(): number | undefined {
     return this.#jobEndedAt;
   }
@@ -142,13 +142,13 @@
     if (reported.phase === 'running' || reported.phase === 'checkpointing') this.#runningSince ??= now;
   }
 
-  /** A command with its start is being sent. */
+  /** Its start command is being sent. */
   startCommandSent(): void {
     this.#wasStartSent = true;
     this.#isStartInFlight = true;
   }
 
-  /** The command with its start got a response, or failed. */
+  /** Its start command got a response, or failed. */
   startCommandEnded(): void {
     this.#isStartInFlight = false;
   }
--- a/src/coordination/shard/command-dispatcher.ts
+++ b/src/coordination/shard/command-dispatcher.ts
@@ -14,14 +14,14 @@
 /** Limit on commands in flight while the workers of a large fleet connect after a failover. */
 const MAX_IN_FLIGHT_WHILE_AWAITING_WORKERS = 8;
 
-/** `pending`: sent only if there are commands. `probe`: always sent, because the response has the worker's state. */
+/** `pending`: a request is sent only if it has commands. `probe`: always, for the worker's state in the response. */
 type SendReason = 'pending' | 'probe';
 
 /** A command request in flight. */
 interface SentCommand {
   readonly machine: Machine;
   readonly incarnation: number;
-  /** Attempts that it starts. */
+  /** Attempts whose start commands the request contains. */
   readonly starts: readonly Attempt[];
 }
 
@@ -90,7 +90,7 @@
     if (machine.record.address === '' || machine.isTerminated || !this.shard.entitled) return;
     const unsent = [...machine.attempts.values()].filter((attempt) => !attempt.wasStartSent);
     this.#discardInvalidStarts(machine, unsent);
-    // No starts are sent to an unresponsive machine: their attempts would stay unconfirmed until its lease expires.
+    // An unresponsive machine gets no start commands: their attempts would stay unconfirmed until its lease expires.
     const startPolicy = machine.unresponsiveSince === undefined ? 'with starts' : 'without starts';
     const commands = commandsFor(machine, this.shard.tables, startPolicy);
     if (commands.length === 0 && reason === 'pending') return;
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Discards unsent starts of evicted attempts, and those numbered under an earlier fencing token. A start must be sent
-   * under the token in its number: once the worker has seen a higher token, that start can't be executed any more.
+   * Discards unsent attempts that are evicted, or numbered under an earlier fencing token. A start command must be sent
+   * under the token in its attempt's number, so that a worker that has seen a higher token certainly rejects it.
    */
   #discardInvalidStarts(machine: Machine, unsent: readonly Attempt[]): void {
     for (const attempt of unsent) {
@@ -152,7 +152,7 @@
     if (result.heartbeat) this.#reconciler.reconcile(machine, result.heartbeat);
     if (result.kind === 'refused') this.#discardUnstarted(machine, sent.starts);
     this.#flagUnconfirmedStarts(sent);
-    // The first command to a worker whose incarnation is unknown is refused, and the response contains the incarnation.
+    // A worker of unknown incarnation refuses a command. Its response contains the incarnation, so a probe follows.
     const isNewIncarnation = !machine.isConfirmed && machine.worker.incarnation !== sent.incarnation;
     if (isNewIncarnation) this.#send(machine, 'probe');
     else if (result.kind === 'done') this.#send(machine, 'pending');
@@ -172,7 +172,7 @@
     machine.backOff(now);
     this.#flagUnconfirmedStarts(sent);
     this.context.log.debug({ machine: machine.id, result: kind }, 'command unanswered');
-    // The worker may be stalled: attempts placed here since then are discarded, so that their tasks go elsewhere.
+    // The worker may be stalled, so attempts that were not sent to it yet are discarded, and their tasks go elsewhere.
     const unsent = [...machine.attempts.values()].filter((attempt) => !attempt.wasStartSent);
     this.#discardUnstarted(machine, unsent);
     this.shard.wake();
--- a/src/coordination/shard/completion-recorder.ts
+++ b/src/coordination/shard/completion-recorder.ts
@@ -1,4 +1,4 @@
-/** @file Writes completions to the key-value store. */
+/** @file Writes task completions to the key-value store. */
 import type { WakeSignal } from '../../base/clock';
 import { maxChangesPerTransaction, maxValueBytes } from '../../base/state-limits';
 import { completionLayout, groupByRecord, readCompletions } from '../../bookkeeping/completion-records';
@@ -14,9 +14,9 @@
   readonly entitled: boolean;
   /** The condition by which a transaction succeeds only while this owner still holds the shard's lease. */
   leaseCondition(): Condition;
-  /** The job has ended: it is done or cancelled. */
+  /** Closes a job that has ended: it is done or cancelled. */
   closeJob(id: string): void;
-  /** Completions were recorded, so their workers can be told to forget them. */
+  /** Completions were recorded, so workers can be told to forget the completed attempts. */
   onCompletionsRecorded(): void;
 }
 
@@ -33,13 +33,13 @@
   readonly changes: readonly Change[];
 }
 
-/** Leaves space in a transaction's request body for what is sent beside the values. */
+/** Limit on the values in one transaction, which leaves space in its request body for everything else. */
 const MAX_VALUE_BYTES = 40 * 1024;
 const MAX_WAIT_MS = 1_000;
 const PAUSE_AFTER_FAILURE_MS = 400;
-/** Delay before a write, so that it includes the completions of the same moment. */
+/** Delay before a write, so that completions that arrive together are written together. */
 const BATCHING_DELAY_MS = 30;
-/** Fraction of the write limit of all controllers together that bitmaps of unfinished jobs may use. */
+/** Fraction of the store's write limit, which all controllers share, that bitmaps of unfinished jobs may use. */
 const BITMAP_WRITE_FRACTION = 0.25;
 
 /** Collects the writes of one transaction up to its size limits. */
@@ -50,7 +50,7 @@
 
   constructor(private readonly maxChanges: number) {}
 
-  /** Adds a write. The first is always added; another that exceeds a limit is not, and the result is false. */
+  /** Adds a write. Returns false, without adding it, if it would exceed a limit; the first write is always added. */
   add(write: JobWrite): boolean {
     const changes = this.#changes + write.changes.length;
     const bytes = this.#bytes + totalValueBytes(write.changes);
@@ -78,7 +78,7 @@
     private readonly completions: WakeSignal,
   ) {}
 
-  /** One step; to be run in a loop. */
+  /** One step, to be run in a loop: waits for completions and writes a batch of them. */
   async step(signal: AbortSignal): Promise<void> {
     const { clock } = this.context;
     await this.completions.wait(MAX_WAIT_MS);
@@ -91,7 +91,7 @@
     this.#wakeForMore();
   }
 
-  /** Starts the next step at once if a completed job is not yet recorded. Unfinished jobs wait for their interval. */
+  /** Starts the next step at once if a completed job is not yet recorded. Unfinished jobs wait for `flush_ms`. */
   #wakeForMore(): void {
     for (const table of this.shard.tables.values()) {
       if (table.unrecorded.size > 0 && table.remaining === 0) {
@@ -122,7 +122,7 @@
     return batch.writes;
   }
 
-  /** Unfinished jobs whose bitmaps may be written now; none until `flush_ms` have passed since the last ones. */
+  /** Unfinished jobs whose bitmaps may be written now; none until `flush_ms` after the last write of bitmaps. */
   #unfinishedDue(unrecorded: readonly DispatchTable[], now: number): DispatchTable[] {
     if (now - this.#bitmapsWrittenAt < this.context.settings.operator.flush_ms) return [];
     const unfinished = unrecorded.filter((table) => table.remaining > 0);
@@ -167,7 +167,7 @@
     };
   }
 
-  /** Writes at most `maxRecords` completion records, those with the oldest unrecorded completions first. */
+  /** The write of at most `maxRecords` completion records, those with the oldest unrecorded completions first. */
   #bitmapWrite(table: DispatchTable, maxRecords: number): JobWrite {
     const { job } = table;
     const { state } = this.context.settings.platform.deployment;
@@ -224,7 +224,7 @@
 
   /**
    * Handles failed conditions: a job was cancelled, or an earlier write of this owner was applied although it got no
-   * response. Reads the stored records and merges them.
+   * response. Closes the cancelled job, or merges the stored completion records into the dispatch table.
    */
   async #resolveConflicts(writes: readonly JobWrite[], failedKeys: ReadonlySet<string>): Promise<void> {
     for (const { table, recordKeys } of writes) {
--- a/src/coordination/shard/dispatch-table.ts
+++ b/src/coordination/shard/dispatch-table.ts
@@ -27,7 +27,7 @@
   readonly recordVersions = new Map<string, number>();
   /** Tasks that a worker reported as done, but that are not yet recorded. */
   readonly unrecorded = new Set<number>();
-  /** The attempt of each issued task. */
+  /** The attempt of each issued task, by the task's number. */
   readonly issued = new Map<number, IssuedAttempt>();
   readonly #ownPriority: Priority;
   readonly #states: Uint8Array;
@@ -76,12 +76,12 @@
     return this.#isReady;
   }
 
-  /** Time of day when the job began to wait for machines only: its submission, or the end of its last dependency. */
+  /** Wall-clock start of the job's wait for machines only: its submission, or the end of its last dependency. */
   get waitingSince(): number {
     return this.#waitingSince;
   }
 
-  /** Marks all dependencies as done; the last of them ended at this time of day. */
+  /** Marks all dependencies as done; the last of them ended at this wall-clock time. */
   becomeReady(lastDependencyEndedAt: number): void {
     this.#isReady = true;
     this.#waitingSince = Math.max(this.submittedAt, lastDependencyEndedAt);
@@ -155,7 +155,7 @@
 
   // Completion records.
 
-  /** When a write of the job's completions was last attempted, successfully or not. */
+  /** Time of the last attempt to write the job's completions, successful or not. */
   get lastWriteAttemptAt(): number {
     return this.#lastWriteAttemptAt;
   }
@@ -183,7 +183,7 @@
     }
   }
 
-  /** The encoded bitmap of a completion record: its tasks that are already recorded, and the given ones. */
+  /** The encoded bitmap of a completion record. Contains the tasks that are already recorded, and the given tasks. */
   encodeRecord({ first, end }: CompletionRecord, tasks: readonly number[]): string {
     return this.recorded.encode(first, end, tasks);
   }
@@ -195,7 +195,7 @@
     return this.#retryAt;
   }
 
-  /** Delays all further starts of the job's tasks until this time. */
+  /** Lets no further task of the job start before this time. */
   pauseUntil(time: number): void {
     this.#retryAt = time;
   }
@@ -206,7 +206,7 @@
     this.#retryAt = 0;
   }
 
-  /** A task failed. After failures on several machines the job is retried with growing pauses until it is cancelled. */
+  /** A task failed. If none is done, failures on several machines cause growing pauses until the job is cancelled. */
   onTaskFailed(machine: string, now: number): void {
     this.#failures.add(machine, now);
     const pauseMs = this.#failures.pauseMs;
--- a/src/coordination/shard/ended-job-attempts.ts
+++ b/src/coordination/shard/ended-job-attempts.ts
@@ -6,7 +6,7 @@
 export class EndedJobAttempts {
   readonly #machines = new Map<Attempt, Machine>();
 
-  /** `evictionTimeoutMs`: how long after its job ended an attempt may be unconfirmed before it counts as overdue. */
+  /** An attempt that is not confirmed gone `evictionTimeoutMs` after its job ended counts as overdue. */
   constructor(private readonly evictionTimeoutMs: number) {}
 
   /** Tracks an attempt whose job has ended. */
@@ -15,7 +15,7 @@
     this.#machines.set(attempt, machine);
   }
 
-  /** Attempts that are not confirmed gone although the eviction timeout has passed; forgets those that are gone. */
+  /** The overdue attempts with their machines. Stops tracking the attempts that are gone. */
   *overdue(now: number): Iterable<[Attempt, Machine]> {
     for (const [attempt, machine] of this.#machines) {
       const isGone = attempt.phase === 'exited' || machine.attempts.get(attempt.key) !== attempt;
--- a/src/coordination/shard/failure-streak.ts
+++ b/src/coordination/shard/failure-streak.ts
@@ -1,6 +1,6 @@
 /** @file Counts consecutive task failures on a machine. */
 
-/** The tasks that failed on a machine since the last one that succeeded there, and their jobs. */
+/** Counts the task failures on a machine since a task last succeeded there, and the jobs that they belong to. */
 export class FailureStreak {
   readonly #jobs = new Set<string>();
   #length = 0;
--- a/src/coordination/shard/heartbeat-handler.ts
+++ b/src/coordination/shard/heartbeat-handler.ts
@@ -11,7 +11,7 @@
 import type { Shard } from './shard';
 import { commandsFor } from './worker-commands';
 
-/** How many unverified heartbeats of an unconfirmed machine get a response; see `#answerUnverified`. */
+/** Maximum number of unverified heartbeats of an unconfirmed machine that get a response; see `#answerUnverified`. */
 const MAX_UNVERIFIED_HEARTBEATS = 3;
 
 /** Components of the shard's owner that the handler uses. */
@@ -40,7 +40,7 @@
     this.#autoscaler = autoscaler;
   }
 
-  /** Handles a heartbeat. `UNDECIDED`: this controller may not respond, or must not renew the worker's lease. */
+  /** Handles a heartbeat. Returns `UNDECIDED` if this controller must not renew the worker's lease. */
   onHeartbeat(heartbeat: WorkerHeartbeat): OwnerResponse | Promise<OwnerResponse> {
     const { shard } = this;
     const machine = shard.machines.get(heartbeat.machine);
@@ -71,8 +71,8 @@
     const { shard } = this;
     if (!shard.entitled || machine.isTerminated || shard.machines.get(machine.id) !== machine)
       return UNDECIDED;
-    // The heartbeat may have been sent before this owner acquired the shard and then delayed. Only this owner's fencing
-    // token, or the response to a command, proves that a message is newer.
+    // The heartbeat may have been sent before this owner acquired the shard, and delayed. A message was certainly sent
+    // later only if it contains this owner's fencing token, or is the response to a command.
     const mayPredateOwner =
       !machine.worker.areHeartbeatsVerified && heartbeat.fencingToken < shard.fencingToken;
     return mayPredateOwner
@@ -82,11 +82,12 @@
 
   #answerUnverified(machine: Machine, heartbeat: WorkerHeartbeat): OwnerResponse {
     const count = machine.worker.unverifiedHeartbeatReceived(heartbeat.incarnation);
-    // The worker doesn't receive the responses. If each one counted as a renewal, its lease would never seem to expire.
+    // The worker seems to receive no responses, so more heartbeats get none: each response counts as a renewal, and the
+    // lease would never count as expired.
     if (!machine.isConfirmed && count > MAX_UNVERIFIED_HEARTBEATS) return UNDECIDED;
     machine.worker.heartbeatAnswered(this.context.clock.now());
-    // The response renews the worker's lease, so it must stop attempts of jobs that were cancelled before this owner
-    // acquired the shard, perhaps a lease ago. A worker that receives only this response would run them for another.
+    // The response renews the worker's lease, so it must stop attempts of cancelled jobs. A job may have been cancelled
+    // a lease ago already, and a worker that receives no later response would run its attempts for another lease.
     return this.#accept(evictionsOfEndedJobs(heartbeat, this.context.cache));
   }
 
@@ -97,7 +98,7 @@
     if (isNew) machine.worker.leaseRenewed(now);
     if (this.#attempts.hasUnconfirmedStartOfEndedJob(machine, now)) return UNDECIDED;
     const commands = commandsFor(machine, this.shard.tables, 'without starts');
-    // The worker counts its lease from when it sent the heartbeat, so it expires there before it expires here.
+    // The worker counts its lease from when it sent the heartbeat, so the lease expires there before it expires here.
     machine.worker.heartbeatAnswered(now);
     return this.#accept(commands);
   }
--- a/src/coordination/shard/heartbeat-reconciler.ts
+++ b/src/coordination/shard/heartbeat-reconciler.ts
@@ -22,8 +22,8 @@
     const changes = machine.reconcile(heartbeat, now, leaseMs, (job) => this.attempts.describe(job));
     this.#checkFencingToken(machine, heartbeat);
     if (hadMissedHeartbeats) {
-      // An unreachable machine can't be used, so that time isn't idle time. When it was, hundreds of machines of a
-      // partitioned zone were released as soon as the partition ended, before pending tasks could be placed there.
+      // An unreachable machine can't be used, so that time doesn't count as idle. When it did, hundreds of machines of
+      // a partitioned zone were released as soon as the partition ended, before pending tasks could be placed there.
       machine.restartIdleTime(now);
       shard.wake();
     }
@@ -31,7 +31,7 @@
     this.attempts.apply(machine, changes);
   }
 
-  /** Confirms the machine once its worker has seen this owner's token: it then rejects commands of earlier owners. */
+  /** Confirms the machine once its worker has seen this owner's token and so rejects commands of earlier owners. */
   #checkFencingToken(machine: Machine, heartbeat: WorkerHeartbeat): void {
     const { shard } = this;
     const { number, fencingToken } = shard;
--- a/src/coordination/shard/job-failures.ts
+++ b/src/coordination/shard/job-failures.ts
@@ -8,15 +8,15 @@
 /** A job that failed on this many machines, and has no completed task, is assumed to be faulty itself. */
 const MACHINES_TO_BLAME_JOB = 3;
 /**
- * How long the job avoids a machine on which one of its tasks failed. The time is limited because there may be no other
- * machine, and the job would never continue.
+ * How long the job avoids a machine on which one of its tasks failed. The time is limited, because a job for which
+ * there is no other machine would otherwise never continue.
  */
 const AVOID_MACHINE_MS = 60_000;
 const NONE: ReadonlySet<string> = new Set();
 
-/** Failures of one job's tasks since its last success, and the machines that they were on. */
+/** Tracks the failures of one job's tasks since its last success, which determine its pauses and machines to avoid. */
 export class JobFailures {
-  /** When a task last failed on each machine. */
+  /** Time of the last failure of a task, by machine. */
   readonly #failedAt = new Map<string, number>();
   #count = 0;
 
@@ -32,7 +32,7 @@
     this.#count = 0;
   }
 
-  /** How long to pause after the latest failure; 0 while all failures were on one machine, which may be faulty. */
+  /** The pause after the latest failure; 0 while all failures were on one machine, because it may be faulty. */
   get pauseMs(): number {
     if (this.#failedAt.size < MACHINES_TO_PAUSE_JOB) return 0;
     const doublings = Math.min(this.#count - MACHINES_TO_PAUSE_JOB, MAX_DOUBLINGS);
--- a/src/coordination/shard/job-timing.ts
+++ b/src/coordination/shard/job-timing.ts
@@ -18,7 +18,7 @@
     return this.context.clock.date().getTime() - table.waitingSince;
   }
 
-  /** How long the job's tasks can still wait without missing its due time, by estimated run times. */
+  /** Time for which the job's tasks can still wait without missing the job's due time, by their estimated run time. */
   slackMs(table: DispatchTable): number {
     return (
       this.#dueAt(table) - this.runTimes.runTimeS(table.job) * 1000 - this.context.clock.date().getTime()
@@ -41,8 +41,8 @@
   }
 
   /**
-   * The time of day when a job should be done: the earlier of its own due time (deadline or objective of its class) and
-   * the latest finish time that lets the jobs that depend on it meet theirs. Without either, a default applies.
+   * Wall-clock time by which a job should be done: the earlier of its own due time (deadline or objective of its class)
+   * and the latest finish time that lets its dependents meet theirs. Without either, a default applies.
    */
   #dueAt(table: DispatchTable): number {
     const chainDueAt = this.context.chainUrgency.of(table.job.id)?.latestFinishAt;
--- a/src/coordination/shard/machine-attempts.ts
+++ b/src/coordination/shard/machine-attempts.ts
@@ -5,7 +5,7 @@
 import type { MachineResources } from './machine-resources';
 import type { WorkerLiveness } from './worker-liveness';
 
-/** The attempts on a machine, unconfirmed ones included. Updates the machine's resources and image cache with them. */
+/** Tracks the attempts on a machine, unconfirmed ones included, and updates the machine's resources and image cache. */
 export class MachineAttempts {
   readonly #attempts = new Map<string, Attempt>();
 
@@ -26,7 +26,7 @@
     if (occupiesResources(attempt)) this.resources.occupy(attempt);
   }
 
-  /** Applies the attempts in a new message; `describe` describes tasks of attempts that this owner didn't issue. */
+  /** Applies the attempts that a new message reports; `describe` describes the tasks of those not tracked yet. */
   reconcile(
     reportedAttempts: readonly ReportedAttempt[],
     now: number,
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Removes an attempt that was certainly never started: its start was refused or never sent. */
+  /** Removes an attempt that was certainly never started: its start command was refused or never sent. */
   discardUnstarted(key: string): AttemptChange | undefined {
     const attempt = this.#attempts.get(key);
     if (attempt?.phase !== 'starting') return undefined;
--- a/src/coordination/shard/machine-confirmation.ts
+++ b/src/coordination/shard/machine-confirmation.ts
@@ -1,19 +1,19 @@
 /** @file Tracks which machines of a shard are confirmed, and how fast workers connect after a failover. */
 import type { Machine } from './machine';
 
-/** Rounds, probes and commands wait for workers to connect only while more machines than this are unconfirmed. */
+/** Rounds and probes wait for workers to connect only while more machines than this are unconfirmed. */
 const MAX_UNCONFIRMED_WITHOUT_WAIT = 64;
-/** After a failover, the longest expected time until the first machine is confirmed, and between two confirmations. */
+/** After a failover, the wait for workers ends when no machine was confirmed for this long. */
 const MAX_CONFIRMATION_GAP_MS = 1_500;
 
-/** Unconfirmed machines, whose workers may still execute an earlier owner's starts, and the last confirmation. */
+/** Tracks machines whose workers may still execute earlier owners' start commands, and whether to wait for them. */
 export class MachineConfirmation {
   readonly #unconfirmed = new Set<Machine>();
   #lastConfirmationAt = -Infinity;
 
   constructor(
     private readonly acquiredAt: number,
-    /** Time within which each worker sends a heartbeat to this owner. */
+    /** Time after the acquisition within which each worker sends a heartbeat to this owner. */
     private readonly heartbeatWindowMs: number,
   ) {}
 
@@ -36,7 +36,7 @@
   /**
    * Whether the shard was just acquired and the workers of a large fleet are still connecting. The event loop accepts
    * one connection per iteration: with rounds, probes and commands running meanwhile, workers could not connect for ten
-   * seconds and more, and lost their leases. So all of these wait until the workers are connected, or no more connect.
+   * seconds and more, and lost their leases. So rounds and probes wait and few commands are sent until no more connect.
    */
   isAwaitingWorkers(now: number): boolean {
     if (this.#unconfirmed.size <= MAX_UNCONFIRMED_WITHOUT_WAIT) return false;
--- a/src/coordination/shard/machine-registration.ts
+++ b/src/coordination/shard/machine-registration.ts
@@ -37,7 +37,7 @@
  * owner knows which machines may have tasks. Machines come up by the dozen, so their records are written in batches.
  *
  * The key-value store's limit on changes allows only dozens of records a second, so a machine may come up before its
- * rental is recorded. One write then records both.
+ * rental is recorded. In that case one write records both.
  */
 export class MachineRegistration {
   readonly #pending = new Map<string, PendingRecord>();
@@ -58,7 +58,7 @@
     return (await this.#enqueue(machine.id, address, { kind: 'known', machine })) === 'recorded';
   }
 
-  /** Records a machine as up that was rented for the shard and has no record yet. */
+  /** Records as up a machine that was rented for the shard and has no record yet. */
   registerUnrecorded(id: string, address: string, record: MachineRecord): Promise<RegistrationOutcome> {
     return this.#enqueue(id, address, { kind: 'rental', record });
   }
@@ -122,7 +122,7 @@
     const version = this.context.cache.version(key);
     const isRental = subject.kind === 'rental';
     // A rental that has a record by now is in the shard already. A machine of the shard without a record was released
-    // while its write was pending: a write on the condition that no record exists would recreate it, as up.
+    // meanwhile: a write on the condition that no record exists would recreate it, as up. So neither is written.
     if (isRental ? version > 0 : version === 0) return undefined;
     const record = isRental ? subject.record : subject.machine.record;
     return { pending, condition: { key, version }, value: { ...record, address, up: true } };
--- a/src/coordination/shard/machine-resources.ts
+++ b/src/coordination/shard/machine-resources.ts
@@ -9,7 +9,7 @@
   onReleased(machine: Machine, attempt: Attempt): void;
 }
 
-/** Running totals over the attempts that occupy resources, because each round reads them for every machine. */
+/** Keeps running totals of the resources that attempts occupy, because each round reads them for every machine. */
 export class MachineResources {
   readonly #used: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
   #occupants = 0;
--- a/src/coordination/shard/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -10,7 +10,7 @@
 
 const BACKOFF_MS = 2_000;
 
-/** Why a machine gets no more tasks and is released as soon as possible. */
+/** The reason why a machine gets no more tasks and is released as soon as possible. */
 export type DrainReason = 'idle' | 'spot notice' | 'unresponsive' | 'late boot' | 'quarantined' | 'underused';
 
 /** Arguments of `Machine`. */
@@ -18,9 +18,9 @@
   readonly id: string;
   readonly record: MachineRecord;
   readonly type: MachineType;
-  /** When this owner first saw it, in steady time. The previous owner may have responded to its worker until then. */
+  /** Monotonic time when this owner first saw it. The previous owner may have responded to its worker until then. */
   readonly firstSeenAt: number;
-  /** When it was rented, in steady time. */
+  /** Monotonic time of its rental, or of its adoption if the leader adopted it. */
   readonly rentedSince: number;
   readonly listener?: OccupancyListener;
 }
@@ -31,7 +31,6 @@
   readonly record: MachineRecord;
   readonly type: MachineType;
   readonly rentedSince: number;
-  /** The state of its worker. */
   readonly worker: WorkerLiveness;
   /** Consecutive task failures on this machine. */
   readonly failures = new FailureStreak();
@@ -55,7 +54,7 @@
     this.rentedSince = rentedSince;
     this.#isUp = record.up;
     this.#idleSince = firstSeenAt;
-    // A machine is recorded as up before its first heartbeat gets a response. So if it isn't, no owner has responded.
+    // A machine is recorded as up before its first heartbeat gets a response. If it isn't, no owner has responded.
     this.worker = new WorkerLiveness(firstSeenAt, !record.up);
     this.#resources = new MachineResources(this, listener);
     this.#images = new ImageCache(type.cacheGb);
@@ -64,12 +63,12 @@
 
   // Worker.
 
-  /** When this owner first saw it, in steady time. */
+  /** Monotonic time when this owner first saw it. */
   get firstSeenAt(): number {
     return this.worker.firstSeenAt;
   }
 
-  /** When the latest message of its worker arrived; delayed older messages don't count. */
+  /** Arrival time of its worker's newest message; delayed older messages don't count. */
   get lastHeartbeatAt(): number | undefined {
     return this.worker.lastHeartbeatAt;
   }
@@ -79,7 +78,7 @@
     return this.worker.latestLeaseStart;
   }
 
-  /** When its worker became unresponsive, though its heartbeats may still arrive; undefined while it responds. */
+  /** Time when its worker became unresponsive, though its heartbeats may still arrive; undefined while it responds. */
   get unresponsiveSince(): number | undefined {
     return this.worker.unresponsiveSince;
   }
@@ -89,17 +88,17 @@
     return this.worker.isLastCommandUnanswered;
   }
 
-  /** No command of an earlier owner can be executed here any more. */
+  /** Whether its worker can no longer execute commands of earlier owners. */
   get isConfirmed(): boolean {
     return this.worker.isConfirmed;
   }
 
-  /** When the worker's lease has expired for certain: by then the worker has killed and forgotten all its attempts. */
+  /** Time at which the lease has certainly expired: by then the worker has killed and forgotten all its attempts. */
   leaseExpiresAt(leaseMs: number): number {
     return this.worker.leaseExpiresAt(leaseMs);
   }
 
-  /** Whether its last heartbeat is older than this. */
+  /** Whether its worker's last heartbeat is more than `missedMs` ago. */
   hasMissedHeartbeats(now: number, missedMs: number): boolean {
     return this.worker.hasMissedHeartbeats(now, missedMs);
   }
@@ -146,7 +145,7 @@
     this.#images.touch(image, imageGb);
   }
 
-  /** Removes an attempt that was certainly never started: its start was refused or never sent. */
+  /** Removes an attempt that was certainly never started: its start command was refused or never sent. */
   discardUnstarted(key: string): AttemptChange | undefined {
     return this.#attempts.discardUnstarted(key);
   }
@@ -158,7 +157,7 @@
 
   /**
    * Applies a message of the worker; `describe` describes the tasks of attempts that this owner didn't issue. Messages
-   * may be delayed and reordered: one that is older than the latest changes nothing.
+   * may be delayed and reordered: a message that is older than one already applied changes nothing.
    */
   reconcile(
     heartbeat: WorkerHeartbeat,
@@ -192,12 +191,12 @@
     return this.#hasSentHeartbeat;
   }
 
-  /** The start of its idle time, which scale-in checks. */
+  /** Time since when it has been idle, which scale-in checks. */
   get idleSince(): number {
     return this.#idleSince;
   }
 
-  /** When the cloud takes the spot machine back, by its interruption notice. */
+  /** Time at which the cloud takes the spot machine back, according to its interruption notice. */
   get spotNoticeDeadline(): number | undefined {
     return this.#spotNoticeDeadline;
   }
@@ -238,14 +237,13 @@
     this.#hasSentHeartbeat = true;
   }
 
-  /** Marks it as recorded as up, at this address. */
+  /** Notes that it is recorded as up, with this address. */
   markUp(address: string, now: number): void {
     this.#isUp = true;
     this.record.address = address;
     this.#idleSince = now;
   }
 
-  /** Restarts its idle time. */
   restartIdleTime(now: number): void {
     this.#idleSince = now;
   }
@@ -255,7 +253,7 @@
     else this.#spotNoticeDeadline = Math.min(this.#spotNoticeDeadline ?? Infinity, now + noticeS * 1000);
   }
 
-  /** Places no tasks here for `BACKOFF_MS`, after a start was refused or a command got no response. */
+  /** Places no tasks here for `BACKOFF_MS`, after a start command was refused or a command got no response. */
   backOff(now: number): void {
     this.#backoffUntil = now + BACKOFF_MS;
   }
@@ -270,12 +268,12 @@
     this.#drainReason ??= reason;
   }
 
-  /** Drains it as unresponsive, even if it is drained for another reason: it is released with its attempts. */
+  /** Drains it as unresponsive, which replaces any other reason: it is then released even with attempts on it. */
   drainAsUnresponsive(): void {
     this.#drainReason = 'unresponsive';
   }
 
-  /** Takes it back into use if it was drained as unresponsive, responds again, and its release is not requested. */
+  /** Ends its drain as unresponsive if its worker responds again and its release was not requested yet. */
   cancelDrainIfResponsive(): void {
     const isDrainedAsUnresponsive = this.#drainReason === 'unresponsive' && !this.#isReleaseRequested;
     if (isDrainedAsUnresponsive && this.worker.unresponsiveSince === undefined) this.#drainReason = undefined;
--- a/src/coordination/shard/probe-queue.ts
+++ b/src/coordination/shard/probe-queue.ts
@@ -5,9 +5,9 @@
 /** Least time between two probes of a machine. */
 const PROBE_INTERVAL_MS = 1_000;
 /**
- * Limit on in-flight probes that were sent since the last `fill`: a response costs ten times as much as a heartbeat.
- * Older probes, to machines behind a network partition, don't count. When they did, probing a third of a fleet a few
- * dozen at a time took half a minute.
+ * Limit on in-flight probes that were sent since the last `fill`, because a response costs ten times as much as a
+ * heartbeat. Older probes are to machines behind a network partition and don't count. When they did, probing a third of
+ * a fleet, a few dozen at a time, took half a minute.
  */
 const MAX_RECENT_PROBES = 24;
 
@@ -24,12 +24,12 @@
 
   constructor(private readonly shard: Shard) {}
 
-  /** Refills the queue; the machines whose last probe is the oldest come first. */
+  /** Refills the queue; the machine that was probed least recently comes first. */
   fill(now: number): void {
     const { shard } = this;
     const due = new Set(shard.isAwaitingWorkers(now) ? [] : shard.unconfirmedMachines);
-    // A worker whose lease another controller relays sends its heartbeats there. It is probed, because it may still be
-    // reachable from here.
+    // A worker whose lease another controller relays sends its heartbeats to that controller. It is probed, because
+    // this owner may still be able to reach it.
     const { isRelayed } = shard;
     for (const machine of shard.machines.values()) {
       if (
--- a/src/coordination/shard/quarantine-policy.ts
+++ b/src/coordination/shard/quarantine-policy.ts
@@ -1,15 +1,15 @@
-/** @file Decides from task failures whether a machine or a job is faulty. */
+/** @file Decides from task failures whether a machine is faulty. */
 import type { DispatchTable } from './dispatch-table';
 import type { Machine } from './machine';
 
-/** Number of consecutive failures after which a machine is faulty, if the job succeeds elsewhere. */
+/** Number of consecutive failures after which a machine counts as faulty, if the job has completed other tasks. */
 const FAULTY_AFTER_FAILURES_OF_ONE_JOB = 3;
-/** Number of different jobs among the consecutive failures after which a machine is faulty. */
+/** A machine counts as faulty once its consecutive failures include this many different jobs. */
 const FAULTY_AFTER_FAILING_JOBS = 2;
 
 /**
- * Quarantines faulty machines: those where tasks of several jobs fail in a row, or tasks of one job that succeeds
- * elsewhere fail repeatedly. Failures of a likely faulty job, one that failed on several machines, don't count.
+ * Quarantines a machine if tasks of several jobs fail there in a row, or if tasks of one job fail there repeatedly but
+ * succeed elsewhere. Failures of a likely faulty job, one that failed on several machines, don't count.
  */
 export class QuarantinePolicy {
   /** Handles the success of a task on the machine. */
--- a/src/coordination/shard/record-change-handler.ts
+++ b/src/coordination/shard/record-change-handler.ts
@@ -8,7 +8,7 @@
 
 /** Receives the effects of change events on the shard's owner. */
 export interface RecordChangeListener {
-  /** The job has ended: it is done or cancelled. */
+  /** Closes a job that has ended: it is done or cancelled. */
   closeJob(id: string): void;
   /** The machine is terminated, and with it every attempt on it. */
   onMachineTerminated(machine: Machine): void;
@@ -25,7 +25,7 @@
     private readonly listener: RecordChangeListener,
   ) {}
 
-  /** A record changed. */
+  /** Applies the change of a record. */
   onChange(event: ChangeEvent): void {
     const { key } = event;
     if (key.startsWith(PREFIX.job)) {
@@ -33,7 +33,7 @@
     } else if (key.startsWith(PREFIX.machine)) {
       this.#onMachine(event);
     } else if (key.startsWith(`${PREFIX.relay}${this.shard.number}/`)) {
-      // A relay may have renewed worker leases until its record was deleted.
+      // A relay may have renewed worker leases until its record was deleted, so all leases count as renewed now.
       this.scheduler.assumeAllLeasesRenewed(this.context.clock.now());
     } else if (key === KEY.lease(this.shard.number)) {
       this.#onLease(event);
--- a/src/coordination/shard/relay-check.ts
+++ b/src/coordination/shard/relay-check.ts
@@ -1,4 +1,4 @@
-/** @file Whether another controller relays leases of a shard's workers. */
+/** @file Checks whether another controller relays leases of a shard's workers. */
 import { KEY } from '../../bookkeeping/records';
 import type { Condition } from '../../protocol/key-value-store';
 import type { ControllerContext } from '../controller-context';
@@ -17,12 +17,12 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** Whether any controller relays, according to the watch cache. */
+  /** Whether another controller relays leases of the shard's workers, according to the watch cache. */
   get isRelayed(): boolean {
     return this.#recordKeys().some((key) => this.context.cache.get(key) !== undefined);
   }
 
-  /** Checks that the key-value store has no relay record, and waits until the watch cache includes earlier ones. */
+  /** Whether the store contains no relay record. Waits until the watch cache includes all that were written before. */
   async confirmNotRelayed(): Promise<boolean> {
     const { store, cache, clock } = this.context;
     const conditions = this.#recordKeys().map((key) => ({ key, version: 0 }));
--- a/src/coordination/shard/resource-usage.ts
+++ b/src/coordination/shard/resource-usage.ts
@@ -7,7 +7,7 @@
 const NO_ZONES: ReadonlyMap<string, number> = new Map();
 
 /**
- * Resources that the attempts of a shard occupy: sums by team, attempt counts by job and zone, and an index by job.
+ * Tracks the resources that a shard's attempts occupy: sums by team, attempt counts by job and zone, attempts by job.
  * Updated with each attempt, because with a thousand machines a recount in each round or message would be too slow.
  */
 export class ResourceUsage implements OccupancyListener {
@@ -18,7 +18,7 @@
   #boostedTasks = 0;
   #unattributedTasks = 0;
 
-  /** Number of attempts of unknown jobs. Which team's quota they use stays unknown until they are gone. */
+  /** Number of attempts that occupy resources and whose job is unknown, so that their team can't be determined. */
   get unattributedTasks(): number {
     return this.#unattributedTasks;
   }
@@ -38,7 +38,7 @@
     return this.#zones.get(job) ?? NO_ZONES;
   }
 
-  /** Resources of each team's attempts, from before a start command is sent until the attempt is confirmed gone. */
+  /** Resources of each team's attempts; each counts from before its start command is sent until confirmed gone. */
   byTeam(): Map<string, TeamUsage> {
     return new Map([...this.#teams].map(([team, { cpus, gpus }]) => [team, { cpus, gpus }]));
   }
--- a/src/coordination/shard/round-loop.ts
+++ b/src/coordination/shard/round-loop.ts
@@ -9,7 +9,7 @@
 
 /** The maximum interval between rounds, and the minimum interval between runs of the periodic tasks. */
 const TICK_MS = 250;
-/** Delay before a round, so that it handles events of the same moment together. */
+/** Delay before a round, so that one round handles all events that arrive at about the same time. */
 const EVENT_BATCHING_MS = 4;
 /** Rounds take at most 1/4 of the time: heartbeats, commands and user requests need the rest. */
 const ROUND_TIME_DIVISOR = 4;
@@ -77,7 +77,7 @@
     this.#dispatcher.probe(now);
   }
 
-  /** Records the handover steps that are reached after a round. */
+  /** Records the handover steps that are complete after a round. */
   #traceProgress(handover: HandoverTrace, isRoundUnfinished: boolean): void {
     const { shard } = this;
     if (!shard.areAllMachinesConfirmed) return;
--- a/src/coordination/shard/run-time-estimates.ts
+++ b/src/coordination/shard/run-time-estimates.ts
@@ -7,7 +7,7 @@
 const MIN_RATIO = 0.2;
 const MAX_RATIO = 5;
 
-/** Ratio of measured run time to the users' estimate for each job class, as an exponential moving average. */
+/** Corrects estimates by the ratio of measured to estimated run time, an exponential moving average per job class. */
 export class RunTimeEstimates {
   readonly #ratios = new Map<string, number>();
 
--- a/src/coordination/shard/shard-owner.ts
+++ b/src/coordination/shard/shard-owner.ts
@@ -148,12 +148,11 @@
     return this.#shard.tables;
   }
 
-  /** Whether this owner has been stopped. */
   get isStopped(): boolean {
     return this.#shard.isStopped;
   }
 
-  /** Whether this owner is not stopped and the controller's session is valid, so that it may act for the shard now. */
+  /** Whether this owner may act for the shard now: it is not stopped, and the controller's session is valid. */
   get entitled(): boolean {
     return this.#shard.entitled;
   }
@@ -163,7 +162,7 @@
     return this.#shard.leaseCondition();
   }
 
-  /** Whether the machine belongs to this shard: it has a record, or was rented here and has none yet. */
+  /** Whether the machine belongs to this shard: it has a record, or was rented by this owner and has no record yet. */
   ownsMachine(machine: string): boolean {
     return this.machines.has(machine) || this.#autoscaler.isUnrecorded(machine);
   }
@@ -173,7 +172,7 @@
     return this.#registration.size;
   }
 
-  /** Number of commands sent to workers that have no response yet. */
+  /** Number of command requests that were sent to workers and got no response yet. */
   get commandsInFlight(): number {
     return this.#dispatcher.inFlightCount;
   }
@@ -204,7 +203,7 @@
     this.#records.onChange(event);
   }
 
-  /** Applies a worker's heartbeat. Undecided: the worker's lease is not renewed. */
+  /** Applies a worker's heartbeat. If the result is undecided, the worker's lease is not renewed. */
   onHeartbeat(heartbeat: WorkerHeartbeat): OwnerResponse | Promise<OwnerResponse> {
     return this.#heartbeats.onHeartbeat(heartbeat);
   }
@@ -214,12 +213,12 @@
     this.#wake.wake();
   }
 
-  /** The job has ended: it is done or cancelled. */
+  /** Closes a job that has ended: it is done or cancelled. */
   closeJob(id: string): void {
     this.#attempts.closeJob(id);
   }
 
-  /** Completions were recorded, so their workers can be told to forget them. */
+  /** Completions were recorded, so workers can be told to forget the completed attempts. */
   onCompletionsRecorded(): void {
     this.#wake.wake();
   }
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -13,7 +13,7 @@
 import { RunTimeEstimates } from './run-time-estimates';
 import { usageByTeam } from './team-usage';
 
-/** How long a worker may spend on trying other controllers, at one second for each. */
+/** Time that a worker may spend on trying other controllers, one second for each. */
 const WORKER_RETRY_MS = 2_000;
 
 /** A shard as its owner acquired it. */
@@ -36,10 +36,10 @@
   readonly leaseMs: number;
 }
 
-/** What a shard's owner keeps in memory: jobs with dispatch tables, machines with attempts, and the shard lease. */
+/** The state of a shard in its owner's memory: jobs with dispatch tables, machines with attempts, and its lease. */
 export class Shard {
   readonly number: number;
-  /** Increases during the ownership; see `FencingTokenRaiser`. */
+  /** Raised during the ownership to invalidate commands without a response; see `FencingTokenRaiser`. */
   fencingToken: number;
   leaseVersion: number;
   readonly acquiredRevision: number;
@@ -95,7 +95,7 @@
 
   // The shard lease.
 
-  /** Whether the owner is not stopped and the controller's session is valid, so that it may act for the shard now. */
+  /** Whether the owner may act for the shard now: it is not stopped, and the controller's session is valid. */
   get entitled(): boolean {
     return !this.isStopped && this.context.session.isValid;
   }
@@ -155,7 +155,7 @@
     return this.#jobTiming.waitedMs(table);
   }
 
-  /** How long the job's tasks can still wait without missing its due time, by estimated run times. */
+  /** Time for which the job's tasks can still wait without missing the job's due time, by their estimated run time. */
   slackMs(table: DispatchTable): number {
     return this.#jobTiming.slackMs(table);
   }
@@ -165,7 +165,7 @@
     return this.#jobTiming.startSlackMs(table);
   }
 
-  /** Resources that each team's attempts occupy or may occupy, including unconfirmed machines. */
+  /** Resources that each team's attempts occupy, including what they may occupy on unconfirmed machines. */
   usageByTeam(): Map<string, TeamUsage> {
     return usageByTeam(this, this.context);
   }
@@ -197,12 +197,12 @@
     this.#confirmation.add(machine);
   }
 
-  /** Machines that have not shown this owner's token: an earlier owner's start commands may still take effect there. */
+  /** Machines whose workers may still execute earlier owners' start commands, not having seen this owner's token. */
   get unconfirmedMachines(): ReadonlySet<Machine> {
     return this.#confirmation.unconfirmed;
   }
 
-  /** Whether all machines are confirmed (token shown, or earlier lease expired) and the teams of all attempts known. */
+  /** Whether all machines are confirmed (token seen or lease expired) and the teams of all attempts are known. */
   get areAllMachinesConfirmed(): boolean {
     return this.unconfirmedMachines.size === 0 && this.usage.unattributedTasks === 0;
   }
--- a/src/coordination/shard/team-usage.ts
+++ b/src/coordination/shard/team-usage.ts
@@ -1,4 +1,4 @@
-/** @file Resources that the teams of a shard use, including machines whose attempts are not known yet. */
+/** @file Computes the resources that a shard's teams use, also on machines whose attempts are not known yet. */
 import type { ControllerContext } from '../controller-context';
 import type { TeamUsage } from '../scheduling/team-quota';
 import { occupiesResources } from './attempt';
@@ -8,7 +8,7 @@
 const NO_USAGE: TeamUsage = { cpus: 0, gpus: 0 };
 const UNLIMITED: TeamUsage = { cpus: Infinity, gpus: Infinity };
 
-/** Resources that each team's attempts occupy, plus an upper bound for those on machines that are not accounted for. */
+/** Resources that each team's attempts occupy, plus an upper bound for attempts that are not known yet. */
 export function usageByTeam(shard: Shard, context: ControllerContext): Map<string, TeamUsage> {
   const usage = shard.usage.byTeam();
   if (shard.areAllMachinesConfirmed) return usage;
@@ -16,7 +16,7 @@
   const bounds = maxUnaccountedUsage(shard, context);
   for (const name of shard.teams.keys()) {
     const known = usage.get(name) ?? NO_USAGE;
-    // The unaccounted resources may all be used by one team, up to the limit of its unaccounted tasks.
+    // One team may use all unaccounted resources, but not more than its unaccounted tasks need.
     const bound = bounds ? (bounds.get(name) ?? NO_USAGE) : UNLIMITED;
     usage.set(name, {
       cpus: known.cpus + Math.min(unaccounted.cpus, bound.cpus),
@@ -41,15 +41,15 @@
 
 function isAccountedFor(machine: Machine): boolean {
   if (!machine.isConfirmed) return false;
-  // An attempt without a team was found after a failover and its job has ended: which team's quota it uses is unknown.
+  // An attempt without a team was found after a failover and its job has ended, so its team is unknown.
   for (const attempt of machine.attempts.values())
     if (attempt.team === '' && occupiesResources(attempt)) return false;
   return true;
 }
 
 /**
- * Upper bound of what each team's tasks can use on unconfirmed machines: unassigned tasks of jobs from before the shard
- * was acquired, and tasks of recently ended jobs. Without this bound the unconfirmed machines of a partitioned zone
+ * Upper bound of each team's usage on unconfirmed machines: by unassigned tasks of jobs from before the shard was
+ * acquired, and by tasks of recently ended jobs. Without this bound the unconfirmed machines of a partitioned zone
  * would use up every team's quota. Undefined if this controller has not watched long enough to know which jobs ended.
  */
 function maxUnaccountedUsage(shard: Shard, context: ControllerContext): Map<string, TeamUsage> | undefined {
--- a/src/coordination/shard/worker-commands.ts
+++ b/src/coordination/shard/worker-commands.ts
@@ -10,8 +10,8 @@
 export type StartPolicy = 'with starts' | 'without starts';
 
 /**
- * The commands that bring the attempts on the machine to their desired state. Starts are only sent in command requests,
- * never in the response to a heartbeat, because the response to a command request reports their results.
+ * The commands that bring the attempts on the machine to their desired state. Start commands are only sent in command
+ * requests, never in the response to a heartbeat, because the response to a command request reports their results.
  */
 export function commandsFor(
   machine: Machine,
@@ -45,7 +45,7 @@
   return attempt.wasStartSent ? undefined : 'start';
 }
 
-/** False for a completion that is not recorded yet: until then the worker alone stores it. */
+/** False for a completion that is not recorded yet: until then only the worker stores it, and must not forget it. */
 function isOutcomeRecorded(attempt: Attempt, tables: ReadonlyMap<string, DispatchTable>): boolean {
   if (attempt.exitCause !== 'done') return true;
   const table = tables.get(attempt.job);
--- a/src/coordination/shard/worker-liveness.ts
+++ b/src/coordination/shard/worker-liveness.ts
@@ -10,7 +10,7 @@
 
 /**
  * Tracks the state of one worker by its messages. Messages may be delayed, reordered and duplicated, and may have been
- * sent before this owner acquired the shard. All times are steady.
+ * sent before this owner acquired the shard. All times are monotonic.
  */
 export class WorkerLiveness {
   #incarnation = 0;
@@ -28,14 +28,14 @@
   #wasNeverAnswered: boolean;
 
   constructor(
-    /** When this owner first saw the machine. The previous owner may have responded to the worker until then. */
+    /** Time when this owner first saw the machine. The previous owner may have responded to the worker until then. */
     readonly firstSeenAt: number,
     wasNeverAnswered: boolean,
   ) {
     this.#latestLeaseStart = firstSeenAt;
     this.#lastRenewalAt = firstSeenAt;
     this.#wasNeverAnswered = wasNeverAnswered;
-    // A machine whose worker never got a response or a command can't have an attempt.
+    // A worker that never got a response or a command can't have an attempt, so its machine is confirmed.
     this.#isConfirmed = wasNeverAnswered;
   }
 
@@ -49,26 +49,26 @@
     return this.#fencingTokenSeen;
   }
 
-  /** When the latest message arrived; delayed older messages don't count. */
+  /** Arrival time of the newest message; delayed older messages don't count. */
   get lastHeartbeatAt(): number | undefined {
     return this.#lastHeartbeatAt;
   }
 
-  /** Latest possible start of the worker's lease: no later heartbeat got a response, no later incarnation began. */
+  /** Latest possible start of the worker's lease: since then no heartbeat got a response, and no incarnation began. */
   get latestLeaseStart(): number {
     return this.#latestLeaseStart;
   }
 
   /**
-   * When the worker became unresponsive; undefined while it responds. Its heartbeats may still arrive, but a command
-   * got no response, or its lease expired although its heartbeats got responses. It is sent no starts until a command
-   * gets a response.
+   * Time when the worker became unresponsive; undefined while it responds. Its heartbeats may still arrive, but a
+   * command got no response, or its lease expired although its heartbeats got responses. It gets no start commands
+   * until another command gets a response.
    */
   get unresponsiveSince(): number | undefined {
     return this.#unresponsiveSince;
   }
 
-  /** When it was last probed, or a command to it last got no response. */
+  /** Time of the last probe, or of the last command without a response if that is later. */
   get lastProbeAt(): number {
     return this.#lastProbeAt;
   }
@@ -78,7 +78,7 @@
     return this.#isLastCommandUnanswered;
   }
 
-  /** No command of an earlier owner can be executed any more: the worker rejects them, or was never sent one. */
+  /** Whether the worker can no longer execute commands of earlier owners: it rejects them, or was never sent one. */
   get isConfirmed(): boolean {
     return this.#isConfirmed;
   }
@@ -89,9 +89,9 @@
   }
 
   /**
-   * Whether the worker's heartbeats can't date from before this owner acquired the shard. A worker whose lease expired
-   * before any of its heartbeats was verified must still show the owner's token or respond to a command: otherwise a
-   * delayed heartbeat would bring back attempts that ended with its incarnation.
+   * Whether new heartbeats of the worker were certainly sent after this owner acquired the shard. If its lease expired
+   * before any of its heartbeats was verified, it must still show the owner's token or respond to a command. Otherwise
+   * a delayed heartbeat would bring back attempts that ended with its incarnation.
    */
   get areHeartbeatsVerified(): boolean {
     return this.#isConfirmed && (this.#incarnation > 0 || this.#wasNeverAnswered);
@@ -105,17 +105,17 @@
     );
   }
 
-  /** When the worker's lease has expired for certain: by then the worker has killed and forgotten all its attempts. */
+  /** Time at which the lease has certainly expired: by then the worker has killed and forgotten all its attempts. */
   leaseExpiresAt(leaseMs: number): number {
     return this.#latestLeaseStart + leaseMs * (1 + 2 * MAX_CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_MS;
   }
 
-  /** Whether its last heartbeat is older than this; without a heartbeat, time counts from `firstSeenAt`. */
+  /** Whether the last heartbeat, or `firstSeenAt` if there is none, is more than `missedMs` ago. */
   hasMissedHeartbeats(now: number, missedMs: number): boolean {
     return now - (this.#lastHeartbeatAt ?? this.firstSeenAt) > missedMs;
   }
 
-  /** Whether a heartbeat arrived within this time. */
+  /** Whether a heartbeat arrived within the last `missedMs`. */
   hasRecentHeartbeat(now: number, missedMs: number): boolean {
     return this.#lastHeartbeatAt !== undefined && now - this.#lastHeartbeatAt <= missedMs;
   }
@@ -124,7 +124,7 @@
   mayReceiveStarts(now: number, leaseMs: number, missedMs: number): boolean {
     return (
       this.#isConfirmed &&
-      // Its heartbeats may arrive while commands don't: an attempt issued there would be stuck until its lease expires.
+      // Its heartbeats may arrive while commands don't reach it: an attempt would be stuck until its lease expires.
       this.#unresponsiveSince === undefined &&
       // A response to a command shows that the worker is reachable, but only responses to heartbeats renew its lease.
       // If the lease has expired by this owner's count, an attempt issued now would start and yet be dropped at once.
@@ -134,9 +134,9 @@
   }
 
   /**
-   * Whether the worker may still execute the attempt's start. A start command without a response may arrive minutes
-   * late, and is executed if the worker's token and incarnation still match. So absence from a heartbeat does not show
-   * that the attempt won't start until the worker has seen a higher token.
+   * Whether the worker may still execute the attempt's start command. A start command without a response may arrive
+   * minutes late, and is executed if the worker's token and incarnation still match. So an attempt that is missing from
+   * a heartbeat may still start, until the worker has seen a higher token.
    */
   isStartUnconfirmed(attempt: Attempt): boolean {
     return (
@@ -146,8 +146,8 @@
   }
 
   /**
-   * Whether `forget` may be sent for the attempt. After it, a delayed or duplicated start command would start the
-   * attempt again, so the worker must already reject the token of that command.
+   * Whether a `forget` command may be sent for the attempt. After that, a delayed or duplicated start command would
+   * start the attempt again, so the worker must already reject the token of that command.
    */
   isSafeToForget(attempt: Attempt): boolean {
     return (
@@ -159,11 +159,11 @@
 
   /** Handles the first message of a new incarnation. */
   beginIncarnation(incarnation: number, now: number, leaseMs: number): void {
-    // Its lease was renewed not long ago and yet expired at the worker: the responses don't reach it.
+    // The worker's lease was renewed not long ago and yet expired there, so it doesn't receive the responses.
     if (this.#incarnation > 0 && now - this.#lastRenewalAt < leaseMs / 2) this.#unresponsiveSince ??= now;
     this.#incarnation = incarnation;
-    // An incarnation begins with a full lease, perhaps as late as now, even if none of its heartbeats got a response.
-    // Counted from an earlier response, the lease would seem expired while its tasks run.
+    // An incarnation begins with a full lease, perhaps just now, even if none of its heartbeats got a response. If the
+    // lease were counted from an earlier response, it would seem expired while tasks of the incarnation run.
     this.assumeHeartbeatAnswered(now);
     this.#lastRenewalAt = now;
   }
@@ -185,14 +185,14 @@
     return this.#unverifiedHeartbeats;
   }
 
-  /** A heartbeat, perhaps a delayed duplicate, got a response: the worker's attempts may live for a lease from now. */
+  /** A heartbeat, maybe a delayed duplicate, got a response, so the worker's attempts may run for a lease from now. */
   heartbeatAnswered(now: number): void {
     this.#latestLeaseStart = now;
   }
 
   /**
    * A new heartbeat gets a response, which renews the worker's lease. The response to a delayed duplicate reaches no
-   * worker, so it isn't counted here, but only in `heartbeatAnswered`, for how long the worker's attempts may live.
+   * worker, so it counts only in `heartbeatAnswered`, which tracks how long the worker's attempts may run.
    */
   leaseRenewed(now: number): void {
     this.#lastRenewalAt = now;
@@ -208,7 +208,7 @@
     this.#lastProbeAt = now;
   }
 
-  /** The last command got a response: executed or refused. */
+  /** The last command got a response: it was executed or refused. */
   commandAnswered(): void {
     this.#isLastCommandUnanswered = false;
     this.#unresponsiveSince = undefined;
@@ -231,7 +231,7 @@
     this.#isConfirmed = true;
   }
 
-  /** Notes that no owner has responded to the worker, so its heartbeats can't date from before this owner. */
+  /** Notes that no owner has responded to the worker, so its heartbeats need no verification. */
   markNeverAnswered(): void {
     this.#wasNeverAnswered = true;
   }
