--- a/src/coordination/autoscaling/cloud-inventory.ts
+++ b/src/coordination/autoscaling/cloud-inventory.ts
@@ -20,7 +20,7 @@
  */
 export class CloudInventory {
   #listed: ListedMachine[] = [];
-  /** Monotonic times of recent deletions of machine records, by machine id. A lagging list may still contain these. */
+  /** Deletion times (monotonic) of machine records, by machine id. A lagging list may still contain these machines. */
   readonly #recordDeletedAt = new Map<string, number>();
 
   constructor(
--- a/src/coordination/autoscaling/scaling-plan.ts
+++ b/src/coordination/autoscaling/scaling-plan.ts
@@ -125,7 +125,7 @@
   /** Assigns each of the tasks to a machine, as far as the options allow. */
   place(work: UnplacedWork): void {
     const { job } = work;
-    // Includes the placed tasks: a machine rented in a zone that they rule out for further tasks would stay unused.
+    // The counts include placed tasks. Otherwise a machine might be rented in a zone that they rule out, and stay unused.
     const zones: ZoneCounts = new Map(work.tasksPerZone);
     let left = work.count - this.#reserveFreeingCpus(work, zones);
     // Free resources only shrink and task counts only grow, so later tasks don't fit a bin that one task doesn't fit.
--- a/src/coordination/scheduling/eager-reissue.ts
+++ b/src/coordination/scheduling/eager-reissue.ts
@@ -64,7 +64,7 @@
           machine.unresponsiveSince ?? Infinity,
         ),
         isBusy: machine.isBusy,
-        // Jobs from before the failover are not placed until this machine is confirmed, and it did not respond to a probe.
+        // This machine did not respond to a probe. Jobs from before the failover are not placed until it is confirmed.
         blocksShard: !machine.isConfirmed && machine.isLastCommandUnanswered,
       });
     }
--- a/src/coordination/scheduling/eager.ts
+++ b/src/coordination/scheduling/eager.ts
@@ -33,7 +33,7 @@
 
 /** Up to this many unresponsive machines, in one zone or in all zones together, count as independent failures. */
 const MAX_INDEPENDENT_FAILURES = 2;
-/** If the unresponsive machines exceed that number and this share, a network partition on our side is assumed. */
+/** If unresponsive machines exceed `MAX_INDEPENDENT_FAILURES` and this share, a partition on our side is assumed. */
 const PARTITION_SHARE = 0.3;
 
 /** Chooses the unresponsive machines that probably failed and were not partitioned, and which of them to release. */
--- a/src/coordination/scheduling/preemption-pass.ts
+++ b/src/coordination/scheduling/preemption-pass.ts
@@ -20,10 +20,10 @@
 const NEARLY_DONE_S = 5;
 /** The least time between two passes: a pass examines all running tasks, and evicted tasks take seconds to exit. */
 const MIN_INTERVAL_MS = 250;
-/** The least interval as a multiple of the round's time up to the end of its pass, to limit the time spent on passes. */
+/** The least time between two passes, as a multiple of the time from the start of the round to the end of its pass. */
 const MIN_INTERVAL_PER_ROUND_TIME = 10;
 
-/** Preempts tasks for unplaced jobs. Passes take a limited share of the shard owner's time. */
+/** Preempts tasks for unplaced jobs. The intervals limit the share of the shard owner's time that passes take. */
 export class PreemptionPass {
   #nextRunAt = -Infinity;
 
