--- a/test/suspicion-consequences.test.ts
+++ b/test/suspicion-consequences.test.ts
@@ -1,4 +1,4 @@
-/** @file What follows from suspicion: who succeeds, who gives up in order, how often, and how a handover is logged. */
+/** @file Effects of suspicion: the choice of successors, planned handovers, the limit on moves and the log of a handover. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { PeerView } from '../src/protocol/peer-view';
@@ -26,30 +26,33 @@
   ...fields,
 });
 
-const names = (candidates: readonly SuccessorCandidate[]): string[] =>
-  candidates.map(({ controller }) => controller);
+const controllerNames = (ranked: readonly SuccessorCandidate[]): string[] =>
+  ranked.map(({ controller }) => controller);
 
-test('the order of successors is the same for all, whatever order they know them in, and spreads over controllers', () => {
-  const nodes = ['a', 'b', 'c', 'd', 'e'].map((controller) => candidate(controller));
-  const firsts = new Map<string, number>();
+test('the ranking of successors does not depend on the order of the input, and spreads shards over controllers', () => {
+  const all = ['a', 'b', 'c', 'd', 'e'].map((controller) => candidate(controller));
+  const firstPlaces = new Map<string, number>();
   for (let shard = 0; shard < 500; shard += 1) {
-    const order = names(rankCandidates(shard, nodes));
-    assert.deepEqual(names(rankCandidates(shard, [...nodes].reverse())), order);
-    firsts.set(order[0] ?? '', (firsts.get(order[0] ?? '') ?? 0) + 1);
-    // Another controller that goes moves no shard but its own.
-    const without = nodes.filter(({ controller }) => controller !== order[4]);
-    assert.deepEqual(names(rankCandidates(shard, without)), order.slice(0, 4));
+    const order = controllerNames(rankCandidates(shard, all));
+    assert.deepEqual(controllerNames(rankCandidates(shard, [...all].reverse())), order);
+    firstPlaces.set(order[0] ?? '', (firstPlaces.get(order[0] ?? '') ?? 0) + 1);
+    // The ranking of the others stays the same when one candidate is gone.
+    const remaining = all.filter(({ controller }) => controller !== order[4]);
+    assert.deepEqual(controllerNames(rankCandidates(shard, remaining)), order.slice(0, 4));
   }
-  assert.ok([...firsts.values()].every((count) => count > 60 && count < 140));
+  assert.ok([...firstPlaces.values()].every((count) => count > 60 && count < 140));
 });
 
-test('a suspect comes last, even with fewer shards; where all are suspects that is no reason', () => {
+test('a suspect is ranked last even with fewer shards; if all candidates are suspects, suspicion does not count', () => {
   const [healthy, suspect] = [candidate('a', { shardCount: 5 }), candidate('b', { isSuspect: true })];
-  assert.deepEqual(names(rankCandidates(0, [suspect, healthy])), ['a', 'b']);
-  assert.deepEqual(names(rankCandidates(0, [suspect, { ...healthy, isSuspect: true }])), ['b', 'a']);
+  assert.deepEqual(controllerNames(rankCandidates(0, [suspect, healthy])), ['a', 'b']);
+  assert.deepEqual(controllerNames(rankCandidates(0, [suspect, { ...healthy, isSuspect: true }])), [
+    'b',
+    'a',
+  ]);
 });
 
-test('then count shards, upgrades, probation, and who owned it last', () => {
+test('candidates are ranked by suspicion, shard count, version, probation and previous ownership, in this order', () => {
   const order = [
     candidate('holder', { wasLastOwner: true }),
     candidate('returned', { isOnProbation: true }),
@@ -57,24 +60,24 @@
     candidate('loaded', { shardCount: 1 }),
     candidate('suspect', { isSuspect: true }),
   ];
-  assert.deepEqual(names(rankCandidates(3, [...order].reverse())), names(order));
+  assert.deepEqual(controllerNames(rankCandidates(3, [...order].reverse())), controllerNames(order));
 });
 
-test('damping: moves of all shards within a minute are bounded, and a shard that moved stays for a while', () => {
+test('damping: moves of all shards per minute are limited, and a shard that moved does not move again for 15 s', () => {
   const moves = new MoveLimiter(3);
   moves.recordOwner(0, 'a', 0);
-  assert.ok(moves.allowsMove(0, 0), 'the first owner that is seen is no move');
+  assert.ok(moves.allowsMove(0, 0), 'the first recorded owner is not a move');
   moves.recordOwner(0, 'b', 1_000);
   assert.ok(!moves.allowsMove(0, 15_900));
   assert.ok(moves.allowsMove(0, 16_000));
   moves.recordOwner(0, 'b', 17_000);
-  assert.ok(moves.allowsMove(0, 17_000), 'the same owner again is no move');
+  assert.ok(moves.allowsMove(0, 17_000), 'recording the same owner again is not a move');
   moves.recordOwner(0, 'a', 20_000);
   moves.recordOwner(0, 'b', 36_000);
-  assert.ok(!moves.allowsMove(1, 60_900), 'three within a minute, whatever the shard');
+  assert.ok(!moves.allowsMove(1, 60_900), 'three moves within a minute, of whichever shard');
   assert.ok(moves.allowsMove(1, 61_000));
   assert.ok(!new MoveLimiter(0).allowsMove(0, 0));
-  // One that nobody holds needs no time to settle.
+  // The cooldown does not apply to a shard whose lease is free.
   const recent = new MoveLimiter(2);
   recent.recordOwner(0, 'a', 0);
   recent.recordOwner(0, 'b', 1_000);
@@ -83,39 +86,39 @@
   assert.ok(!recent.allowsAnyMove(2_000));
 });
 
-/** The owner stalls so often, short of its lease each time. */
-function stallsAgainAndAgain(times: number, stallMs = 2_000): Fault {
-  return async (play) => {
-    const { cluster, owner } = play;
+/** The owner stalls this many times, each time for less than its lease. */
+function ownerStallsRepeatedly(times: number, stallMs = 2_000): Fault {
+  return async (scenario) => {
+    const { cluster, owner } = scenario;
     for (let stall = 0; stall < times; stall += 1) {
-      freezeFor(play, owner, stallMs);
+      freezeFor(scenario, owner, stallMs);
       await cluster.clock.advance(stallMs + 3_000);
     }
     await cluster.clock.advance(5_000);
   };
 }
 
-test('an owner that stalls again and again hands over in order: well under a lease, and only once', async () => {
-  const { history } = await runFaultScenario(stallsAgainAndAgain(3), { operator: SUSPICION_ON });
+test('an owner that stalls repeatedly hands its shard over once, with less than 1 s without an owner', async () => {
+  const { history } = await runFaultScenario(ownerStallsRepeatedly(3), { operator: SUSPICION_ON });
   assert.equal(moveCount(history), 1);
   const [before, after] = [...history.intervals].sort((a, b) => a.from - b.from);
   assert.ok(before && after);
   assert.ok(after.from - before.to < 1_000, `${after.from - before.to} ms without an owner`);
 });
 
-test('an owner that stalled less often keeps its shard, and so does one with suspicion off', async () => {
-  const fewer = await runFaultScenario(stallsAgainAndAgain(2), { operator: SUSPICION_ON });
+test('an owner that stalls too few times, or with suspicion off, keeps its shard', async () => {
+  const fewer = await runFaultScenario(ownerStallsRepeatedly(2), { operator: SUSPICION_ON });
   assert.equal(moveCount(fewer.history), 0);
-  const off = await runFaultScenario(stallsAgainAndAgain(4), {});
+  const off = await runFaultScenario(ownerStallsRepeatedly(4), {});
   assert.equal(moveCount(off.history), 0);
 });
 
-test('all controllers stall again and again: nobody is better, so no shard moves', async () => {
+test('all controllers stall repeatedly: no candidate is better, so no shard moves', async () => {
   const { history } = await runFaultScenario(
-    async (play) => {
-      const { cluster } = play;
+    async (scenario) => {
+      const { cluster } = scenario;
       for (let stall = 0; stall < 4; stall += 1) {
-        for (const index of cluster.controllers.keys()) freezeFor(play, index, 2_000);
+        for (const index of cluster.controllers.keys()) freezeFor(scenario, index, 2_000);
         await cluster.clock.advance(5_000);
       }
     },
@@ -124,23 +127,23 @@
   assert.equal(moveCount(history), 0);
 });
 
-test('controllers that take turns in stalling move no more shards than the bound allows', async () => {
+test('controllers that stall one after another cause no more moves than the limit allows', async () => {
   const operator = { suspicion: { enabled: true, stalls: 1, moves_per_minute: 2 } };
   const { history } = await runFaultScenario(
-    async (play) => {
-      const { cluster } = play;
+    async (scenario) => {
+      const { cluster } = scenario;
       for (let stall = 0; stall < 12; stall += 1) {
-        freezeFor(play, await cluster.untilOwned(), 2_000);
+        freezeFor(scenario, await cluster.untilOwned(), 2_000);
         await cluster.clock.advance(5_000);
       }
     },
     { operator },
   );
-  // A minute and a bit more.
+  // The limit is two moves per minute; the scenario lasts slightly longer than a minute.
   assert.ok(moveCount(history) >= 1 && moveCount(history) <= 3, `${moveCount(history)} moves`);
 });
 
-test('an owner that nobody hears gives its shard up while it can, not by the end of its lease', async () => {
+test('an owner whose messages reach no peer hands its shard over before its lease expires', async () => {
   const { history } = await runFaultScenario(
     async ({ cluster, owner }) => {
       const pairs = otherControllers(cluster, owner).map((other) => `node-${owner}>node-${other}`);
@@ -154,28 +157,28 @@
   assert.equal(moveCount(history), 1);
 });
 
-/** The owner of the second shard dies, and whoever is chosen for it stalls as the choice is written. */
-const chosenOwnerStalls: Fault = async (play) => {
-  const { cluster } = play;
-  const second = cluster.controllers.findIndex(({ controller }) => controller.owners.has(1));
-  assert.ok(second >= 0 && second !== leaderIndex(cluster));
-  killFor(play, second, 60_000);
-  let chosen = -1;
+/** The owner of shard 1 dies, and its chosen successor stalls while that choice is written. */
+const chosenOwnerStalls: Fault = async (scenario) => {
+  const { cluster } = scenario;
+  const ownerOfShard1 = cluster.controllers.findIndex(({ controller }) => controller.owners.has(1));
+  assert.ok(ownerOfShard1 >= 0 && ownerOfShard1 !== leaderIndex(cluster));
+  killFor(scenario, ownerOfShard1, 60_000);
+  let chosenIndex = -1;
   cluster.network.rule(({ path, body }) => {
-    if (chosen >= 0 || path !== '/txn') return undefined;
+    if (chosenIndex >= 0 || path !== '/txn') return undefined;
     const { apply } = body as { apply: { set?: string; data?: { owner?: string } }[] };
     const owner = apply.find(({ set }) => set === 'live/block/1')?.data?.owner;
-    chosen = cluster.controllers.findIndex(({ name, alive }) => alive && name === owner);
-    if (chosen >= 0) freezeFor(play, chosen, 12_000);
+    chosenIndex = cluster.controllers.findIndex(({ name, alive }) => alive && name === owner);
+    if (chosenIndex >= 0) freezeFor(scenario, chosenIndex, 12_000);
     return undefined;
   });
-  await cluster.until('another is chosen', () => chosen >= 0, 10);
-  assert.notEqual(chosen, leaderIndex(cluster));
+  await cluster.until('a successor is chosen', () => chosenIndex >= 0, 10);
+  assert.notEqual(chosenIndex, leaderIndex(cluster));
   await cluster.clock.advance(60_000);
 };
 
-test('a shard whose chosen owner stalls before it has acquired it goes to another once that one is suspected', async () => {
-  const gapOf = async (operator: Record<string, unknown>): Promise<number> => {
+test('a shard whose chosen owner stalls before acquiring it is reassigned once that controller is suspected', async () => {
+  const unownedMs = async (operator: Record<string, unknown>): Promise<number> => {
     const { history } = await runFaultScenario(chosenOwnerStalls, {
       operator: { ...operator, blocks: 2 },
       controllers: 5,
@@ -185,22 +188,22 @@
       .sort((a, b) => a.from - b.from);
     return (after?.from ?? Infinity) - (before?.to ?? 0);
   };
-  const [on, off] = [await gapOf(SUSPICION_ON), await gapOf({})];
+  const [on, off] = [await unownedMs(SUSPICION_ON), await unownedMs({})];
   assert.ok(on <= off - 1_000, `${on} ms without an owner with suspicion, ${off} ms without`);
 });
 
-test('a handover is logged by its steps, each with its time', async () => {
+test('a handover logs each step with its time', async () => {
   const steps: string[] = [];
   await runFaultScenario(
-    async (play) => {
-      const { cluster } = play;
+    async (scenario) => {
+      const { cluster } = scenario;
       cluster.onLog = (_index, { step, atMs }, message) => {
         if (message === 'handover') {
           assert.equal(typeof atMs, 'number');
           steps.push(String(step));
         }
       };
-      await stallsAgainAndAgain(3)(play);
+      await ownerStallsRepeatedly(3)(scenario);
       await cluster.clock.advance(5_000);
     },
     { operator: SUSPICION_ON },
@@ -211,9 +214,9 @@
   ]);
 });
 
-test('the suspicion of one controller of several is not that of most, whoever else is away or stalled', () => {
+test('the suspicion of one controller is not a majority, even if other controllers are down or stalled', () => {
   const subject = { controller: 'a', sessionEpoch: 5 };
-  const suspects = (fields: Partial<PeerView> = {}, run = 5): PeerView => ({
+  const suspectingView = (fields: Partial<PeerView> = {}, run = 5): PeerView => ({
     run: 9,
     incarnation: 0,
     isStalled: false,
@@ -228,9 +231,13 @@
   });
   const isSuspected = (views: Record<string, PeerView>, others: number): boolean =>
     isSuspectedByMajority(subject, new Map(Object.entries(views)), others);
-  assert.equal(isSuspected({ b: suspects(), c: suspects() }, 2), true);
-  assert.equal(isSuspected({ b: suspects() }, 2), false);
-  assert.equal(isSuspected({ b: suspects(), c: suspects() }, 4), false);
-  assert.equal(isSuspected({ b: suspects(), c: suspects({ isStalled: true }) }, 2), false);
-  assert.equal(isSuspected({ b: suspects(), c: suspects({}, 4) }, 2), false, 'that was an earlier run');
+  assert.equal(isSuspected({ b: suspectingView(), c: suspectingView() }, 2), true);
+  assert.equal(isSuspected({ b: suspectingView() }, 2), false);
+  assert.equal(isSuspected({ b: suspectingView(), c: suspectingView() }, 4), false);
+  assert.equal(isSuspected({ b: suspectingView(), c: suspectingView({ isStalled: true }) }, 2), false);
+  assert.equal(
+    isSuspected({ b: suspectingView(), c: suspectingView({}, 4) }, 2),
+    false,
+    'an opinion about an earlier session',
+  );
 });
--- a/test/suspicion-detector.test.ts
+++ b/test/suspicion-detector.test.ts
@@ -1,4 +1,4 @@
-/** @file The failure detector as pure functions of observations and time. */
+/** @file The failure detector, as a pure function of observations and time. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { PeerOpinion, PeerView } from '../src/protocol/peer-view';
@@ -11,7 +11,7 @@
 
 const HEARTBEAT_MS = 1_000;
 
-/** A view whose sender holds these opinions. */
+/** A view with these opinions of its sender. */
 function viewOf(opinions: PeerOpinion[], fields: Partial<PeerView> = {}): PeerView {
   return { run: 10, incarnation: 0, isStalled: false, opinions, ...fields };
 }
@@ -21,15 +21,15 @@
   return { node, ...usual, ...fields };
 }
 
-/** The distribution, which has to be known by now. */
-function known(intervals: HeartbeatIntervals): IntervalDistribution {
+/** The distribution; fails if there are too few intervals for one. */
+function knownDistribution(intervals: HeartbeatIntervals): IntervalDistribution {
   const { distribution } = intervals;
   assert.ok(distribution);
   return distribution;
 }
 
-/** A detector under a clock that the test moves. */
-class Bench {
+/** A detector with a clock that the test advances. */
+class DetectorHarness {
   now = 0;
   #nextHeartbeatAt = HEARTBEAT_MS;
   readonly sessions = new Map<string, SessionState>();
@@ -51,27 +51,27 @@
     return this.detector.state(node)?.status;
   }
 
-  /** Lets time pass tick by tick; each peer that speaks sends a heartbeat a second. */
-  run(ms: number, speakers: Record<string, PeerView> = {}): void {
+  /** Advances time tick by tick; each peer with a view sends it as a heartbeat once a second. */
+  run(ms: number, sentViews: Record<string, PeerView> = {}): void {
     for (const end = this.now + ms; this.now < end;) {
       this.now += TICK_INTERVAL_MS;
       // Timers fire before sockets are read.
       this.detector.tick(this.now, (node) => this.sessions.get(node) ?? 'exists');
       for (; this.#nextHeartbeatAt <= this.now; this.#nextHeartbeatAt += HEARTBEAT_MS) {
-        for (const [node, view] of Object.entries(speakers)) this.detector.onHeartbeat(node, view, this.now);
+        for (const [node, view] of Object.entries(sentViews)) this.detector.onHeartbeat(node, view, this.now);
       }
     }
   }
 
-  /** The process stands still. */
+  /** Advances time without ticks, as if the process were paused. */
   pause(ms: number): void {
     this.now += ms;
   }
 }
 
-const SPEAKING = { a: viewOf([], { run: 5 }), b: viewOf([opinionOn('a', { heardMsAgo: undefined })]) };
+const PEER_VIEWS = { a: viewOf([], { run: 5 }), b: viewOf([opinionOn('a', { heardMsAgo: undefined })]) };
 
-test('phi grows with silence, faster for regular heartbeats, and stays finite', () => {
+test('phi grows with the time since the last heartbeat, faster for regular heartbeats, and stays finite', () => {
   const regular = { meanMs: 1_000, deviationMs: 100 };
   const irregular = { meanMs: 1_000, deviationMs: 500 };
   assert.ok(phi(0, regular) < 0.001);
@@ -83,74 +83,74 @@
   assert.ok(silenceMsForThreshold(8, regular) < silenceMsForThreshold(8, irregular));
 });
 
-test('intervals: unknown at first, then what was seen lately; memory stays bounded and an outage is cut short', () => {
+test('heartbeat intervals: no distribution from seven, later one of the recent ones; memory is bounded, an outage is capped', () => {
   const intervals = new HeartbeatIntervals();
   for (let n = 0; n < 7; n += 1) intervals.add(1_000);
   assert.equal(intervals.distribution, undefined);
   for (let n = 0; n < 100_000; n += 1) intervals.add(1_000 + (n % 10));
-  const { meanMs, deviationMs } = known(intervals);
+  const { meanMs, deviationMs } = knownDistribution(intervals);
   assert.ok(Math.abs(meanMs - 1_005) < 25 && deviationMs < 30);
   intervals.add(3_600_000);
-  assert.ok(known(intervals).deviationMs < 2_000);
+  assert.ok(knownDistribution(intervals).deviationMs < 2_000);
   assert.ok(JSON.stringify(intervals).length < 20_000);
   for (let n = 0; n < 600; n += 1) intervals.add(2_000);
-  assert.ok(Math.abs(known(intervals).meanMs - 2_000) < 50, 'what was long ago is forgotten');
+  assert.ok(Math.abs(knownDistribution(intervals).meanMs - 2_000) < 50, 'old intervals are dropped');
 });
 
-test('alive, suspected, refuted, alive again', () => {
-  const bench = new Bench();
-  bench.run(20_000, SPEAKING);
-  assert.equal(bench.status('a'), 'alive');
-  bench.run(1_600, { b: SPEAKING.b });
-  assert.equal(bench.status('a'), 'alive');
-  bench.run(1_400, { b: SPEAKING.b });
-  assert.equal(bench.status('a'), 'suspected');
-  assert.equal(bench.status('b'), 'alive');
-  bench.run(1_000, SPEAKING);
-  assert.equal(bench.status('a'), 'refuted');
-  bench.run(11_000, SPEAKING);
-  assert.equal(bench.status('a'), 'alive');
+test('a peer whose heartbeats stop is suspected; when they resume it is refuted, and later alive', () => {
+  const harness = new DetectorHarness();
+  harness.run(20_000, PEER_VIEWS);
+  assert.equal(harness.status('a'), 'alive');
+  harness.run(1_600, { b: PEER_VIEWS.b });
+  assert.equal(harness.status('a'), 'alive');
+  harness.run(1_400, { b: PEER_VIEWS.b });
+  assert.equal(harness.status('a'), 'suspected');
+  assert.equal(harness.status('b'), 'alive');
+  harness.run(1_000, PEER_VIEWS);
+  assert.equal(harness.status('a'), 'refuted');
+  harness.run(11_000, PEER_VIEWS);
+  assert.equal(harness.status('a'), 'alive');
 });
 
-test('the end of a session is the verdict; a new one makes a peer returned, and after a while alive', () => {
-  const bench = new Bench();
-  bench.run(20_000, SPEAKING);
-  bench.sessions.set('a', 'ended');
-  bench.run(1_000, SPEAKING);
-  assert.equal(bench.status('a'), 'failed', 'also while its heartbeats go on');
-  bench.sessions.set('a', 'exists');
-  bench.run(1_000, SPEAKING);
-  assert.equal(bench.status('a'), 'returned');
-  bench.run(10_000, SPEAKING);
-  assert.equal(bench.status('a'), 'alive');
-  bench.sessions.set('a', 'unknown');
-  bench.run(1_000, SPEAKING);
-  assert.equal(bench.status('a'), 'alive', 'records that are not loaded say nothing');
+test('a peer has failed when its session ends, has returned with a new session, and is alive after its probation', () => {
+  const harness = new DetectorHarness();
+  harness.run(20_000, PEER_VIEWS);
+  harness.sessions.set('a', 'ended');
+  harness.run(1_000, PEER_VIEWS);
+  assert.equal(harness.status('a'), 'failed', 'even while its heartbeats continue');
+  harness.sessions.set('a', 'exists');
+  harness.run(1_000, PEER_VIEWS);
+  assert.equal(harness.status('a'), 'returned');
+  harness.run(10_000, PEER_VIEWS);
+  assert.equal(harness.status('a'), 'alive');
+  harness.sessions.set('a', 'unknown');
+  harness.run(1_000, PEER_VIEWS);
+  assert.equal(harness.status('a'), 'alive', 'the status stays while the records are not loaded');
 });
 
-test('a peer that is back before anybody missed it shows by its run', () => {
-  const bench = new Bench();
-  bench.run(20_000, SPEAKING);
-  bench.run(2_000, { ...SPEAKING, a: viewOf([], { run: 6 }) });
-  assert.equal(bench.status('a'), 'returned');
+test('a peer that restarts before it is suspected has returned, as its new session shows', () => {
+  const harness = new DetectorHarness();
+  harness.run(20_000, PEER_VIEWS);
+  harness.run(2_000, { ...PEER_VIEWS, a: viewOf([], { run: 6 }) });
+  assert.equal(harness.status('a'), 'returned');
 });
 
-test('an observer that wakes after 8 s, or whose event loop is slow, suspects nobody', () => {
-  const bench = new Bench();
-  bench.run(20_000, SPEAKING);
-  bench.pause(8_000);
-  bench.run(TICK_INTERVAL_MS);
-  // What the peers sent meanwhile is read after the first timers.
-  assert.equal(bench.detector.isUnresponsive('a'), false);
-  bench.run(20_000, SPEAKING);
+test('an observer that resumes after a pause of 8 s, or whose event loop is slow, suspects no peer', () => {
+  const harness = new DetectorHarness();
+  harness.run(20_000, PEER_VIEWS);
+  harness.pause(8_000);
+  harness.run(TICK_INTERVAL_MS);
+  // Heartbeats that arrived during the pause are read only after the first timers have fired.
+  assert.equal(harness.detector.isUnresponsive('a'), false);
+  harness.run(20_000, PEER_VIEWS);
   for (let turn = 0; turn < 20; turn += 1) {
-    bench.pause(600);
-    bench.run(TICK_INTERVAL_MS, SPEAKING);
+    harness.pause(600);
+    harness.run(TICK_INTERVAL_MS, PEER_VIEWS);
   }
-  assert.ok(!bench.changes.some((change) => change.endsWith('to suspected')), bench.changes.join());
+  assert.ok(!harness.changes.some((change) => change.endsWith('to suspected')), harness.changes.join());
 });
 
-test('running time: pauses are remembered, and how many is bounded', () => {
+test('running time excludes pauses; the number of recorded pauses is bounded', () => {
   const clock = new RunningClock(0);
   for (let now = TICK_INTERVAL_MS; now <= 2_000; now += TICK_INTERVAL_MS) clock.tick(now);
   assert.equal(clock.runningMs, 2_000);
@@ -162,75 +162,75 @@
   assert.equal(clock.pausesSince(0, 0).length, 64);
 });
 
-test('a peer whose link to this observer alone is cut is not suspected, though it is silent here', () => {
-  const bench = new Bench();
-  bench.run(20_000, SPEAKING);
-  bench.run(10_000, { b: viewOf([opinionOn('a', { heardMsAgo: 300 })]) });
-  assert.equal(bench.detector.isUnresponsive('a'), true);
-  assert.notEqual(bench.status('a'), 'suspected');
-  // The other one has not heard it for long either.
-  bench.run(4_000, { b: viewOf([opinionOn('a', { heardMsAgo: 4_000 })]) });
-  assert.equal(bench.status('a'), 'suspected');
+test('a peer that is partitioned from this observer only is not suspected, though it is unresponsive here', () => {
+  const harness = new DetectorHarness();
+  harness.run(20_000, PEER_VIEWS);
+  harness.run(10_000, { b: viewOf([opinionOn('a', { heardMsAgo: 300 })]) });
+  assert.equal(harness.detector.isUnresponsive('a'), true);
+  assert.notEqual(harness.status('a'), 'suspected');
+  // The other peer has not received a heartbeat from it for 4 s either.
+  harness.run(4_000, { b: viewOf([opinionOn('a', { heardMsAgo: 4_000 })]) });
+  assert.equal(harness.status('a'), 'suspected');
 });
 
-test('what a stalled controller holds, or one of an earlier run of the peer, refutes nothing', () => {
+test('the opinion of a stalled controller, or about an earlier session of the peer, does not prevent suspicion', () => {
   for (const view of [
     viewOf([opinionOn('a', { heardMsAgo: 300 })], { isStalled: true }),
     viewOf([opinionOn('a', { heardMsAgo: 300, run: 4 })]),
   ]) {
-    const bench = new Bench();
-    bench.run(20_000, SPEAKING);
-    bench.run(4_000, { b: view });
-    assert.equal(bench.status('a'), 'suspected');
+    const harness = new DetectorHarness();
+    harness.run(20_000, PEER_VIEWS);
+    harness.run(4_000, { b: view });
+    assert.equal(harness.status('a'), 'suspected');
   }
 });
 
-test('with the fixed timeout a peer is suspected after that, however regular its heartbeats were', () => {
-  const bench = new Bench({ detector: 'fixed', timeoutMs: 4_000 });
-  bench.run(20_000, SPEAKING);
-  bench.run(3_800, { b: SPEAKING.b });
-  assert.equal(bench.status('a'), 'alive');
-  bench.run(600, { b: SPEAKING.b });
-  assert.equal(bench.status('a'), 'suspected');
+test('with the fixed detector a peer is suspected after the timeout, however regular its heartbeats were', () => {
+  const harness = new DetectorHarness({ detector: 'fixed', timeoutMs: 4_000 });
+  harness.run(20_000, PEER_VIEWS);
+  harness.run(3_800, { b: PEER_VIEWS.b });
+  assert.equal(harness.status('a'), 'alive');
+  harness.run(600, { b: PEER_VIEWS.b });
+  assert.equal(harness.status('a'), 'suspected');
 });
 
-test('a peer whose heartbeats are irregular is given more time', () => {
-  const bench = new Bench();
+test('a peer with irregular heartbeats is suspected at first, but no longer once its intervals are known', () => {
+  const harness = new DetectorHarness();
   for (let n = 0; n < 30; n += 1)
-    bench.run(n % 3 === 0 ? 2_000 : 1_000, n % 3 === 0 ? { b: SPEAKING.b } : SPEAKING);
-  const suspicions = bench.changes.filter((change) => change === 'a: alive to suspected').length;
-  bench.changes.length = 0;
+    harness.run(n % 3 === 0 ? 2_000 : 1_000, n % 3 === 0 ? { b: PEER_VIEWS.b } : PEER_VIEWS);
+  const suspicions = harness.changes.filter((change) => change === 'a: alive to suspected').length;
+  harness.changes.length = 0;
   for (let n = 0; n < 30; n += 1)
-    bench.run(n % 3 === 0 ? 2_000 : 1_000, n % 3 === 0 ? { b: SPEAKING.b } : SPEAKING);
+    harness.run(n % 3 === 0 ? 2_000 : 1_000, n % 3 === 0 ? { b: PEER_VIEWS.b } : PEER_VIEWS);
   assert.ok(suspicions > 0);
-  assert.ok(!bench.changes.some((change) => change.endsWith('to suspected')), bench.changes.join());
+  assert.ok(!harness.changes.some((change) => change.endsWith('to suspected')), harness.changes.join());
 });
 
-test('however irregular its heartbeats were, a peer is suspected before its lease ends', () => {
-  const bench = new Bench();
+test('a peer is suspected before its lease expires, however irregular its heartbeats were', () => {
+  const harness = new DetectorHarness();
   for (let n = 0; n < 30; n += 1)
-    bench.run(n % 3 === 0 ? 4_000 : 1_000, n % 3 === 0 ? { b: SPEAKING.b } : SPEAKING);
-  bench.changes.length = 0;
-  bench.run(3_600, { b: SPEAKING.b });
-  assert.deepEqual(bench.changes, []);
-  bench.run(400, { b: SPEAKING.b });
-  assert.equal(bench.status('a'), 'suspected');
+    harness.run(n % 3 === 0 ? 4_000 : 1_000, n % 3 === 0 ? { b: PEER_VIEWS.b } : PEER_VIEWS);
+  harness.changes.length = 0;
+  harness.run(3_600, { b: PEER_VIEWS.b });
+  assert.deepEqual(harness.changes, []);
+  harness.run(400, { b: PEER_VIEWS.b });
+  assert.equal(harness.status('a'), 'suspected');
 });
 
-test('several messages of one heartbeat, or what lay in a buffer, do not count as intervals', () => {
-  const bench = new Bench();
-  bench.run(20_000, SPEAKING);
-  for (let n = 0; n < 300; n += 1) bench.detector.onHeartbeat('a', SPEAKING.a, bench.now);
-  bench.run(1_400);
-  assert.equal(bench.detector.isUnresponsive('a'), false);
+test('several messages at once, of one heartbeat or from a buffer, do not count as intervals', () => {
+  const harness = new DetectorHarness();
+  harness.run(20_000, PEER_VIEWS);
+  for (let n = 0; n < 300; n += 1) harness.detector.onHeartbeat('a', PEER_VIEWS.a, harness.now);
+  harness.run(1_400);
+  assert.equal(harness.detector.isUnresponsive('a'), false);
 });
 
-test('peers that the settings do not name are not kept', () => {
-  const bench = new Bench();
-  bench.detector.onHeartbeat('stranger', SPEAKING.a, 0);
-  assert.equal(bench.detector.state('stranger'), undefined);
+test('heartbeats from controllers that are not in the settings are ignored', () => {
+  const harness = new DetectorHarness();
+  harness.detector.onHeartbeat('stranger', PEER_VIEWS.a, 0);
+  assert.equal(harness.detector.state('stranger'), undefined);
   assert.deepEqual(
-    bench.detector.opinions(0).map(({ node }) => node),
+    harness.detector.opinions(0).map(({ node }) => node),
     ['a', 'b'],
   );
 });
--- a/test/suspicion-handover.test.ts
+++ b/test/suspicion-handover.test.ts
@@ -1,4 +1,4 @@
-/** @file Handovers that are held up: whoever has just done a step stands still for 8 s, on either side. */
+/** @file Delayed handovers: the controller that has just completed a step stalls for 8 s, on either side. */
 import assert from 'node:assert/strict';
 import { after, test } from 'node:test';
 import { context, trace } from '@opentelemetry/api';
@@ -25,55 +25,55 @@
 } from './suspicion-steps';
 
 const STALL_MS = 8_000;
-/** Short of the lease, and often enough for the owner to give its shard up. */
+/** Shorter than the lease; this many stalls make the owner hand its shard over. */
 const SHORT_STALL_MS = 2_000;
 const SHORT_STALLS = 3;
 
-/** The owner gives its shard up in order; whoever logs the step stalls at that moment. */
+/** The owner starts a planned handover; the controller that logs the step stalls at that moment. */
 function stallAt(step: HandoverStep): Fault {
-  return async (play) => {
-    const { cluster, owner } = play;
-    let stalled = -1;
+  return async (scenario) => {
+    const { cluster, owner } = scenario;
+    let stalledIndex = -1;
     cluster.onLog = (index, fields, message) => {
-      if (stalled >= 0 || message !== 'handover' || fields.step !== step) return;
-      stalled = index;
-      freezeFor(play, index, STALL_MS);
+      if (stalledIndex >= 0 || message !== 'handover' || fields.step !== step) return;
+      stalledIndex = index;
+      freezeFor(scenario, index, STALL_MS);
     };
     for (let stall = 0; stall < SHORT_STALLS; stall += 1) {
-      freezeFor(play, owner, SHORT_STALL_MS);
+      freezeFor(scenario, owner, SHORT_STALL_MS);
       await cluster.clock.advance(SHORT_STALL_MS + 2_500);
     }
-    for (let waited = 0; stalled < 0 && waited < 10_000; waited += 100) await cluster.clock.advance(100);
-    assert.ok(stalled >= 0, `nobody came to "${step}"`);
+    for (let waited = 0; stalledIndex < 0 && waited < 10_000; waited += 100) await cluster.clock.advance(100);
+    assert.ok(stalledIndex >= 0, `no controller reached "${step}"`);
     await submitAndCancelDuring(
       cluster,
-      otherControllers(cluster, stalled).find((index) => index !== owner) ?? 0,
+      otherControllers(cluster, stalledIndex).find((index) => index !== owner) ?? 0,
     );
     await cluster.clock.advance(STALL_MS + 10_000);
   };
 }
 
 for (const step of [...PLANNED_HANDOVER_STEPS, ...FAILOVER_STEPS]) {
-  test(`who has just come to "${step}" stalls for 8 s: one owner at a time, and every job has one again`, async () => {
+  test(`the controller that has just reached "${step}" stalls for 8 s: one owner at a time, and every job has one again`, async () => {
     const { history } = await runFaultScenario(stallAt(step), { operator: SUSPICION_ON });
     assert.ok(moveCount(history) >= 1);
   });
 }
 
-test('the owner has stopped before its lease goes: it learns of that long after the successor has acquired it', async () => {
+test('the owner stops before it releases its lease: the release is confirmed to it only after the successor acquired the shard', async () => {
   const { history } = await runFaultScenario(
-    async (play) => {
-      const { cluster, owner } = play;
+    async (scenario) => {
+      const { cluster, owner } = scenario;
       cluster.onLog = (index, { step }, message) => {
         if (message !== 'handover' || index !== owner || step !== 'drained') return;
-        // Whatever the state service tells this controller from now on comes late.
-        const end = cluster.store.rule(({ from }) =>
+        // From now on every response of the state service to this controller is late.
+        const endDelay = cluster.store.rule(({ from }) =>
           from === `node-${owner}` ? { slowMs: 1_400 } : undefined,
         );
-        cluster.clock.after(4_000, end);
+        cluster.clock.after(4_000, endDelay);
       };
       for (let stall = 0; stall < SHORT_STALLS; stall += 1) {
-        freezeFor(play, owner, SHORT_STALL_MS);
+        freezeFor(scenario, owner, SHORT_STALL_MS);
         await cluster.clock.advance(SHORT_STALL_MS + 2_500);
       }
       await cluster.clock.advance(10_000);
@@ -83,7 +83,7 @@
   assert.equal(moveCount(history), 1);
 });
 
-/** Registers a provider whose spans end up in memory. */
+/** Registers a tracer provider that exports its spans to memory. */
 function exportedSpans(): InMemorySpanExporter {
   const exporter = new InMemorySpanExporter();
   const provider = new BasicTracerProvider({ spanProcessors: [new SimpleSpanProcessor(exporter)] });
@@ -95,16 +95,16 @@
   return exporter;
 }
 
-test('a handover is a span with an event for each step, which ends with the last or when it is broken off', async () => {
+test('a handover is a span with one event per step, which ends with the last step or when the handover is abandoned', async () => {
   const exporter = exportedSpans();
   const clock = new FakeClock();
-  const lines: unknown[] = [];
-  const nothing = (): void => undefined;
+  const logged: unknown[] = [];
+  const ignore = (): void => undefined;
   const log = {
-    error: nothing,
-    warn: nothing,
-    debug: nothing,
-    info: (fields: unknown) => lines.push(fields),
+    error: ignore,
+    warn: ignore,
+    debug: ignore,
+    info: (fields: unknown) => logged.push(fields),
   };
   const handover = new HandoverTrace(3, { clock, log: log as never });
   for (const step of FAILOVER_STEPS) {
@@ -113,10 +113,10 @@
     await clock.advance(250);
   }
   assert.equal(handover.isComplete, true);
-  assert.equal(lines.length, FAILOVER_STEPS.length, 'a step that is repeated is logged once');
-  const brokenOff = new HandoverTrace(4, { clock, log: log as never });
-  brokenOff.recordStep('chosen');
-  brokenOff.abandon();
+  assert.equal(logged.length, FAILOVER_STEPS.length, 'a repeated step is logged once');
+  const abandonedHandover = new HandoverTrace(4, { clock, log: log as never });
+  abandonedHandover.recordStep('chosen');
+  abandonedHandover.abandon();
   handover.abandon();
   const spans = exporter.getFinishedSpans();
   assert.deepEqual(
--- a/test/suspicion-messages.test.ts
+++ b/test/suspicion-messages.test.ts
@@ -1,4 +1,4 @@
-/** @file Peer messages with views: their wire form, and those that are dropped, counted and logged once. */
+/** @file Peer messages with views: their encoding; invalid ones are dropped, counted and logged once. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RateLimit } from '../src/transport/rate-limit';
@@ -39,7 +39,7 @@
   ],
 };
 
-const PROGRESS: PeerHeartbeat = {
+const HEARTBEAT: PeerHeartbeat = {
   from: 'node-0',
   isViewFresh: true,
   jobs: [],
@@ -47,27 +47,27 @@
   redirected: [],
 };
 
-test('a view comes back from the wire as it was; a message without one has none', () => {
-  const message = { kind: 'heartbeat' as const, heartbeat: { ...PROGRESS, view: VIEW } };
+test('a view is decoded as it was encoded; a message without a view is decoded without one', () => {
+  const message = { kind: 'heartbeat' as const, heartbeat: { ...HEARTBEAT, view: VIEW } };
   assert.deepEqual(readPeerMessage(writePeerMessage(message)), message);
-  const without = { kind: 'heartbeat' as const, heartbeat: PROGRESS };
-  assert.deepEqual(readPeerMessage(writePeerMessage(without)), without);
+  const messageWithoutView = { kind: 'heartbeat' as const, heartbeat: HEARTBEAT };
+  assert.deepEqual(readPeerMessage(writePeerMessage(messageWithoutView)), messageWithoutView);
 });
 
-test('a status or reason that this version does not know makes the view malformed, not the message', () => {
-  const bytes = writePeerMessage({ kind: 'heartbeat', heartbeat: { ...PROGRESS, view: VIEW } });
+test('an unknown status makes the view malformed, but not the message', () => {
+  const bytes = writePeerMessage({ kind: 'heartbeat', heartbeat: { ...HEARTBEAT, view: VIEW } });
   // The status of the first opinion: field 2 of Opinion, a varint.
-  const name = Buffer.from(bytes).indexOf('node-1');
+  const nameOffset = Buffer.from(bytes).indexOf('node-1');
   const changed = Buffer.from(bytes);
-  assert.deepEqual([...changed.subarray(name + 6, name + 8)], [0x10, 2]);
-  changed[name + 7] = 99;
+  assert.deepEqual([...changed.subarray(nameOffset + 6, nameOffset + 8)], [0x10, 2]);
+  changed[nameOffset + 7] = 99;
   const read = readPeerMessage(changed);
   assert.ok(read?.kind === 'heartbeat');
   assert.deepEqual([read.heartbeat.isViewMalformed, read.heartbeat.view], [true, undefined]);
 });
 
-/** Suspicion of node-0, with what it logged. */
-function suspicionAlone(): { suspicion: Suspicion; warnings: string[] } {
+/** The suspicion component of node-0, and the reasons in the warnings that it logs. */
+function createSuspicion(): { suspicion: Suspicion; warnings: string[] } {
   const clock = new FakeClock();
   const unreachable = { call: () => new Promise<never>(() => undefined) };
   const limit = new RateLimit(clock, 100, 100);
@@ -97,31 +97,35 @@
 }
 
 const fromPeer = (view: Partial<PeerView>, fields: Partial<PeerHeartbeat> = {}): PeerHeartbeat => ({
-  ...PROGRESS,
+  ...HEARTBEAT,
   from: 'node-1',
   view: { ...VIEW, opinions: [], ...view },
   ...fields,
 });
 
-test('messages of unknown nodes, of earlier runs and incarnations, and malformed ones are dropped and counted', () => {
-  const { suspicion, warnings } = suspicionAlone();
-  const take = (progress: PeerHeartbeat): boolean => {
-    const isAccepted = suspicion.accepts(progress);
-    if (isAccepted) suspicion.onHeartbeat(progress);
+test('messages from unknown controllers, earlier sessions or incarnations, and malformed ones are dropped and counted', () => {
+  const { suspicion, warnings } = createSuspicion();
+  const deliver = (heartbeat: PeerHeartbeat): boolean => {
+    const isAccepted = suspicion.accepts(heartbeat);
+    if (isAccepted) suspicion.onHeartbeat(heartbeat);
     return isAccepted;
   };
-  assert.equal(take(fromPeer({ run: 12, incarnation: 2 })), true);
-  assert.equal(take(fromPeer({ run: 12, incarnation: 2 })), true);
-  assert.equal(take(fromPeer({ run: 12, incarnation: 1 })), false);
-  assert.equal(take(fromPeer({ run: 11, incarnation: 9 })), false);
-  assert.equal(take(fromPeer({ run: 13, incarnation: 0 })), true, 'a new run begins with a low incarnation');
-  assert.equal(take(fromPeer({ run: 0 })), true, 'a peer without a session says nothing of its run');
-  assert.equal(take({ ...PROGRESS, from: 'node-2' }), true, 'a version without views');
-  assert.equal(take(fromPeer({}, { from: 'node-9' })), false);
-  const onStranger = VIEW.opinions.map((opinion) => ({ ...opinion, node: 'node-9' }));
-  assert.equal(take(fromPeer({ run: 13, opinions: onStranger })), false);
-  assert.equal(take({ ...PROGRESS, from: 'node-2', isViewMalformed: true }), false);
-  assert.equal(take({ ...PROGRESS, from: 'node-2', isViewMalformed: true }), false);
+  assert.equal(deliver(fromPeer({ run: 12, incarnation: 2 })), true);
+  assert.equal(deliver(fromPeer({ run: 12, incarnation: 2 })), true);
+  assert.equal(deliver(fromPeer({ run: 12, incarnation: 1 })), false);
+  assert.equal(deliver(fromPeer({ run: 11, incarnation: 9 })), false);
+  assert.equal(
+    deliver(fromPeer({ run: 13, incarnation: 0 })),
+    true,
+    'a new session starts with a low incarnation',
+  );
+  assert.equal(deliver(fromPeer({ run: 0 })), true, 'a peer without a session sends no session number');
+  assert.equal(deliver({ ...HEARTBEAT, from: 'node-2' }), true, 'a peer of a version without views');
+  assert.equal(deliver(fromPeer({}, { from: 'node-9' })), false);
+  const aboutUnknownPeer = VIEW.opinions.map((opinion) => ({ ...opinion, node: 'node-9' }));
+  assert.equal(deliver(fromPeer({ run: 13, opinions: aboutUnknownPeer })), false);
+  assert.equal(deliver({ ...HEARTBEAT, from: 'node-2', isViewMalformed: true }), false);
+  assert.equal(deliver({ ...HEARTBEAT, from: 'node-2', isViewMalformed: true }), false);
   assert.deepEqual(suspicion.report().rejected, {
     'earlier incarnation': 1,
     'earlier run': 1,
@@ -131,9 +135,9 @@
   assert.deepEqual(warnings.sort(), ['earlier incarnation', 'earlier run', 'malformed view', 'unknown node']);
 });
 
-test('a suspect refutes with a higher incarnation; a suspicion of an earlier run is not its own', () => {
-  const { suspicion } = suspicionAlone();
-  const suspects = (incarnation: number): PeerHeartbeat =>
+test('a suspect refutes with a higher incarnation, and ignores a suspicion of an earlier one', () => {
+  const { suspicion } = createSuspicion();
+  const suspectingHeartbeat = (incarnation: number): PeerHeartbeat =>
     fromPeer({
       opinions: [
         {
@@ -147,19 +151,19 @@
         },
       ],
     });
-  suspicion.onHeartbeat(suspects(0));
+  suspicion.onHeartbeat(suspectingHeartbeat(0));
   assert.equal(suspicion.view().incarnation, 1);
-  suspicion.onHeartbeat(suspects(0));
+  suspicion.onHeartbeat(suspectingHeartbeat(0));
   assert.equal(suspicion.view().incarnation, 1);
-  suspicion.onHeartbeat(suspects(7));
+  suspicion.onHeartbeat(suspectingHeartbeat(7));
   assert.equal(suspicion.view().incarnation, 8);
 });
 
-test('garbage over the peer link changes nothing: no shard moves, and every controller goes on', async () => {
+test('malformed and forged peer messages change nothing: no shard moves, and all peers stay alive', async () => {
   const cluster = new SimulatedCluster({ operator: SUSPICION_ON });
   const owner = await cluster.untilOwned();
   await cluster.clock.advance(10_000);
-  const forged = { ...PROGRESS, from: `node-${owner}`, view: { ...VIEW, run: 1, opinions: [] } };
+  const forged = { ...HEARTBEAT, from: `node-${owner}`, view: { ...VIEW, run: 1, opinions: [] } };
   for (let second = 0; second < 20; second += 1) {
     for (const { controller } of cluster.controllers) {
       controller.onPeerFrame(Buffer.from([0x12, 0xff, 0xff, 0x01]));
--- a/test/suspicion-partitions.test.ts
+++ b/test/suspicion-partitions.test.ts
@@ -1,4 +1,4 @@
-/** @file Controllers cut from each other, from the state service or from workers, one way or both: one owner at a time. */
+/** @file Controllers partitioned from each other, the state service or workers: one owner at a time. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { moveCount } from './fakes/ownership-history';
@@ -14,46 +14,47 @@
   type Connection,
 } from './suspicion-steps';
 
-const CUT_MS = 20_000;
+const PARTITION_MS = 20_000;
 
-/** Where the state service is while two groups of controllers don't hear each other. */
-type StateSide = 'the side of the owner' | 'the other side' | 'both sides' | 'neither side';
+/** The side of the state service while two groups of controllers are partitioned from each other. */
+type StateServiceSide = 'the side of the owner' | 'the other side' | 'both sides' | 'neither side';
 
-/** The controllers part into the owner's group and the rest; each side suspects the other. */
-function split(withOwner: number, stateSide: StateSide): Fault {
-  return async (play) => {
-    const { cluster, owner, history } = play;
+/** The owner's group of controllers is partitioned from the rest; each side suspects the other. */
+function partitionControllers(ownerSideSize: number, stateServiceSide: StateServiceSide): Fault {
+  return async (scenario) => {
+    const { cluster, owner, history } = scenario;
     const others = otherControllers(cluster, owner);
-    const left = [owner, ...others.slice(0, withOwner - 1)];
-    const right = others.slice(withOwner - 1);
-    const heals = [partitionGroups(cluster, left, right)];
-    const isOwnerCut = stateSide === 'the other side' || stateSide === 'neither side';
-    const areOthersCut = stateSide === 'the side of the owner' || stateSide === 'neither side';
-    const cut = [...(isOwnerCut ? left : []), ...(areOthersCut ? right : [])];
-    for (const index of cut) heals.push(partitionFrom(cluster, index, ['state']));
-    if (stateSide === 'the other side') history.recordControllerFailure(owner);
-    const reader = isOwnerCut ? right[0] : owner;
-    if (stateSide !== 'neither side') await submitAndCancelDuring(cluster, reader ?? 0);
-    await cluster.clock.advance(CUT_MS);
-    for (const heal of heals) heal();
-    if (stateSide === 'neither side') await submitAndCancelDuring(cluster, owner);
+    const left = [owner, ...others.slice(0, ownerSideSize - 1)];
+    const right = others.slice(ownerSideSize - 1);
+    const endPartitions = [partitionGroups(cluster, left, right)];
+    const isOwnerWithoutState = stateServiceSide === 'the other side' || stateServiceSide === 'neither side';
+    const areOthersWithoutState =
+      stateServiceSide === 'the side of the owner' || stateServiceSide === 'neither side';
+    const withoutState = [...(isOwnerWithoutState ? left : []), ...(areOthersWithoutState ? right : [])];
+    for (const index of withoutState) endPartitions.push(partitionFrom(cluster, index, ['state']));
+    if (stateServiceSide === 'the other side') history.recordControllerFailure(owner);
+    const reader = isOwnerWithoutState ? right[0] : owner;
+    if (stateServiceSide !== 'neither side') await submitAndCancelDuring(cluster, reader ?? 0);
+    await cluster.clock.advance(PARTITION_MS);
+    for (const endPartition of endPartitions) endPartition();
+    if (stateServiceSide === 'neither side') await submitAndCancelDuring(cluster, owner);
   };
 }
 
-/** The owner is cut from some of its surroundings alone. */
-function ownerCutFrom(...what: Connection[]): Fault {
-  return async (play) => {
-    const { cluster, owner, history } = play;
+/** The owner is partitioned from these connections only. */
+function ownerPartitionedFrom(...what: Connection[]): Fault {
+  return async (scenario) => {
+    const { cluster, owner, history } = scenario;
     if (what.includes('state')) history.recordControllerFailure(owner);
-    const heal = partitionFrom(cluster, owner, what);
+    const endPartition = partitionFrom(cluster, owner, what);
     await submitAndCancelDuring(cluster, otherControllers(cluster, owner)[0] ?? 0);
-    await cluster.clock.advance(CUT_MS);
-    heal();
+    await cluster.clock.advance(PARTITION_MS);
+    endPartition();
   };
 }
 
-/** What one controller tells another is lost, while the other way works. */
-function lostOneWay(
+/** Messages from one controller to another are lost, while those in the other direction arrive. */
+function oneWayLoss(
   pairsOf: (owner: number, others: readonly number[]) => [from: number, to: number][],
 ): Fault {
   return async ({ cluster, owner }) => {
@@ -62,52 +63,64 @@
     );
     for (const pair of pairs) cluster.oneWayLostPairs.add(pair);
     await submitAndCancelDuring(cluster, otherControllers(cluster, owner)[0] ?? 0);
-    await cluster.clock.advance(CUT_MS);
+    await cluster.clock.advance(PARTITION_MS);
     for (const pair of pairs) cluster.oneWayLostPairs.delete(pair);
   };
 }
 
-// With the state service on neither side every lease ends: who is back first afterwards may own the shard.
+// With the state service on neither side every lease expires; the first controller to reach it may own the shard.
 const SIDES = ['the side of the owner', 'the other side', 'both sides', 'neither side'] as const;
 
 const scenarios: { title: string; controllers?: number; fault: Fault; maxMoves: number }[] = [
   ...SIDES.map((side) => ({
-    title: `a split of three controllers, the state service on ${side}`,
-    fault: split(1, side),
+    title: `a partition of three controllers, the state service on ${side}`,
+    fault: partitionControllers(1, side),
     maxMoves: side === 'the other side' || side === 'neither side' ? 1 : 0,
   })),
   ...SIDES.map((side) => ({
-    title: `a split of five controllers, two of them with the owner, the state service on ${side}`,
+    title: `a partition of five controllers, two of them on the side of the owner, the state service on ${side}`,
     controllers: 5,
-    fault: split(2, side),
+    fault: partitionControllers(2, side),
     maxMoves: side === 'the other side' || side === 'neither side' ? 1 : 0,
   })),
-  { title: 'the owner is cut from its peers only', fault: ownerCutFrom('peers'), maxMoves: 0 },
-  { title: 'the owner is cut from its workers only', fault: ownerCutFrom('workers'), maxMoves: 2 },
-  { title: 'the owner is cut from the state service only', fault: ownerCutFrom('state'), maxMoves: 1 },
   {
-    title: 'the owner is cut from peers and state service',
-    fault: ownerCutFrom('peers', 'state'),
+    title: 'the owner is partitioned from its peers only',
+    fault: ownerPartitionedFrom('peers'),
+    maxMoves: 0,
+  },
+  {
+    title: 'the owner is partitioned from its workers only',
+    fault: ownerPartitionedFrom('workers'),
+    maxMoves: 2,
+  },
+  {
+    title: 'the owner is partitioned from the state service only',
+    fault: ownerPartitionedFrom('state'),
+    maxMoves: 1,
+  },
+  {
+    title: 'the owner is partitioned from its peers and the state service',
+    fault: ownerPartitionedFrom('peers', 'state'),
     maxMoves: 1,
   },
   {
-    title: 'one controller does not hear the owner, the other does',
-    fault: lostOneWay((owner, [first = 0]) => [[owner, first]]),
+    title: 'messages from the owner to one of two peers are lost',
+    fault: oneWayLoss((owner, [first = 0]) => [[owner, first]]),
     maxMoves: 0,
   },
   {
-    title: 'the owner does not hear one controller',
-    fault: lostOneWay((owner, [first = 0]) => [[first, owner]]),
+    title: 'messages from one peer to the owner are lost',
+    fault: oneWayLoss((owner, [first = 0]) => [[first, owner]]),
     maxMoves: 0,
   },
   {
-    title: 'nobody hears the owner, which hears all',
-    fault: lostOneWay((owner, others) => others.map((other) => [owner, other])),
+    title: 'messages from the owner to all peers are lost',
+    fault: oneWayLoss((owner, others) => others.map((other) => [owner, other])),
     maxMoves: 1,
   },
   {
-    title: 'the owner hears nobody, and is heard by all',
-    fault: lostOneWay((owner, others) => others.map((other) => [other, owner])),
+    title: 'messages from all peers to the owner are lost',
+    fault: oneWayLoss((owner, others) => others.map((other) => [other, owner])),
     maxMoves: 0,
   },
 ];
