--- a/test/suspicion-settings.test.ts
+++ b/test/suspicion-settings.test.ts
@@ -1,4 +1,4 @@
-/** @file The operators' settings of suspicion, what follows from them, and the command that shows peers. */
+/** @file The operators' settings of suspicion, the values derived from them, and the command that shows peers. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { createServer } from 'node:http';
@@ -21,13 +21,13 @@
   return makeSettings(platform, { suspicion }, ['settings.toml', 'options.toml']);
 }
 
-test('suspicion is off unless the options file has it, and off when it says so', () => {
+test('suspicion is off without its options or with `enabled = false`', () => {
   assert.equal(readSuspicionOptions(settingsWith(undefined)), undefined);
   assert.equal(readSuspicionOptions(settingsWith({ enabled: false })), undefined);
   assert.equal(describeSuspicion(settingsWith({ enabled: false })), null);
 });
 
-test('the options file that comes with the program is valid, and holds the defaults', () => {
+test('the options file that is shipped with the program is valid and contains the defaults', () => {
   const { suspicion } = parse(readFileSync('deploy/suspicion.toml', 'utf8'));
   assert.deepEqual(
     readSuspicionOptions(settingsWith(suspicion)),
@@ -35,30 +35,37 @@
   );
 });
 
-test('check-config tells when a peer is suspected, and when the verdict falls', () => {
-  const usual = describeSuspicion(settingsWith({ enabled: true }));
-  assert.equal(usual?.verdictAfterMs, 5_000);
-  assert.ok(usual.suspectedAfterMs > 2_000 && usual.suspectedAfterMs < 2_300, `${usual.suspectedAfterMs}`);
+test('check-config shows when a peer is suspected, and when it is declared failed', () => {
+  const defaults = describeSuspicion(settingsWith({ enabled: true }));
+  assert.equal(defaults?.verdictAfterMs, 5_000);
+  assert.ok(
+    defaults.suspectedAfterMs > 2_000 && defaults.suspectedAfterMs < 2_300,
+    `${defaults.suspectedAfterMs}`,
+  );
   const fixed = describeSuspicion(settingsWith({ enabled: true, detector: 'fixed', timeout_s: 3 }));
   assert.equal(fixed?.suspectedAfterMs, 3_000);
 });
 
-for (const [what, suspicion, key] of [
-  ['a timeout that is no longer than a heartbeat', { enabled: true, timeout_s: 1 }, 'suspicion.timeout_s'],
-  ['a timeout beyond the verdict', { enabled: true, timeout_s: 5 }, 'suspicion.timeout_s'],
+for (const [title, suspicion, key] of [
+  ['a timeout as short as the heartbeat interval', { enabled: true, timeout_s: 1 }, 'suspicion.timeout_s'],
+  ['a timeout as long as the lease', { enabled: true, timeout_s: 5 }, 'suspicion.timeout_s'],
   ['a stall as long as the lease', { enabled: true, stall_s: 5 }, 'suspicion.stall_s'],
-  ['giving up after the verdict', { enabled: true, give_up_after_s: 6 }, 'suspicion.give_up_after_s'],
-  ['a window too short for its stalls', { enabled: true, stalls: 30 }, 'suspicion.stall_window_s'],
+  [
+    'a planned handover after the lease has expired',
+    { enabled: true, give_up_after_s: 6 },
+    'suspicion.give_up_after_s',
+  ],
+  ['a window too short for the number of stalls', { enabled: true, stalls: 30 }, 'suspicion.stall_window_s'],
   ['a threshold of zero', { enabled: true, phi_threshold: 0 }, 'suspicion.phi_threshold'],
   ['a threshold that is not finite', { enabled: true, phi_threshold: Infinity }, 'suspicion.phi_threshold'],
-  ['a negative bound on moves', { enabled: true, moves_per_minute: -1 }, 'suspicion.moves_per_minute'],
-  ['half a stall', { enabled: true, stalls: 0.5 }, 'suspicion.stalls'],
+  ['a negative limit on moves', { enabled: true, moves_per_minute: -1 }, 'suspicion.moves_per_minute'],
+  ['a fractional number of stalls', { enabled: true, stalls: 0.5 }, 'suspicion.stalls'],
   ['an unknown detector', { enabled: true, detector: 'swim' }, 'suspicion.detector'],
   ['an unknown key', { enabled: true, threshold: 8 }, 'suspicion: .*threshold'],
-  ['no switch', { timeout_s: 3 }, 'suspicion.enabled'],
-  ['no table', 7, 'suspicion'],
+  ['a missing `enabled`', { timeout_s: 3 }, 'suspicion.enabled'],
+  ['a number instead of a table', 7, 'suspicion'],
 ] as const) {
-  test(`a start is refused for ${what}, naming key and file`, () => {
+  test(`a start is rejected for ${title}, and the error names key and file`, () => {
     assert.throws(
       () => readSuspicionOptions(settingsWith(suspicion)),
       (error) => error instanceof SettingsError && new RegExp(`^options.toml: ${key}`).test(error.message),
@@ -66,7 +73,7 @@
   });
 }
 
-/** Runs the command line, and returns what it printed and its exit code. */
+/** Runs the command line; returns its output, its errors and its exit code. */
 async function runCommand(...args: string[]): Promise<{ output: string; errors: string; code: number }> {
   const result = { output: '', errors: '', code: 0 };
   const program = createProgram('none', {
@@ -82,54 +89,54 @@
   return result;
 }
 
-/** A controller's answer to `GET /peers`, from the in-memory deployment. */
-async function reportOf(cluster: SimulatedCluster, index: number): Promise<PeersReport> {
-  const answer = await cluster.request(index, 'GET', '/peers');
-  assert.equal(answer.status, 200);
-  return answer.body as PeersReport;
+/** A controller's response to `GET /peers`, from the simulated cluster. */
+async function fetchReport(cluster: SimulatedCluster, index: number): Promise<PeersReport> {
+  const response = await cluster.request(index, 'GET', '/peers');
+  assert.equal(response.status, 200);
+  return response.body as PeersReport;
 }
 
-test('GET /peers: the views of all controllers, with a suspect as each of them holds it', async () => {
+test('GET /peers shows the views of all controllers, with the status of a suspect and its refutation', async () => {
   const cluster = new SimulatedCluster({ operator: SUSPICION_ON });
   const owner = await cluster.untilOwned();
   await cluster.clock.advance(15_000);
   const [first = 0, second = 0] = [0, 1, 2].filter((index) => index !== owner);
-  const before = await reportOf(cluster, first);
+  const before = await fetchReport(cluster, first);
   assert.equal(before.rows.length, 6);
   assert.ok(before.rows.every(({ status }) => status === 'alive'));
   assert.ok(before.run > 0);
-  const thaw = cluster.freeze(owner);
+  const resume = cluster.freeze(owner);
   await cluster.clock.advance(4_000);
-  const during = await reportOf(cluster, first);
-  const held = during.rows.filter(({ peer }) => peer === `node-${owner}`);
+  const during = await fetchReport(cluster, first);
+  const ownerOpinions = during.rows.filter(({ peer }) => peer === `node-${owner}`);
   assert.deepEqual(
-    held.map(({ from, status, reason }) => `${from} ${status} ${reason}`).sort(),
+    ownerOpinions.map(({ from, status, reason }) => `${from} ${status} ${reason}`).sort(),
     [first, second].map((index) => `node-${index} suspected no heartbeat`).sort(),
   );
-  thaw();
+  resume();
   await cluster.clock.advance(2_500);
-  const after = await reportOf(cluster, first);
+  const after = await fetchReport(cluster, first);
   const refuted = after.rows.filter(({ from, peer }) => from === `node-${first}` && peer === `node-${owner}`);
   assert.deepEqual(
     refuted.map(({ status }) => status),
     ['refuted'],
   );
-  assert.ok((refuted[0]?.incarnation ?? 0) > 0, 'it refuted with a higher incarnation');
+  assert.ok((refuted[0]?.incarnation ?? 0) > 0, 'the refutation has a higher incarnation');
 });
 
-test('with suspicion off there is nothing to show', async () => {
+test('with suspicion off, GET /peers responds 404', async () => {
   const cluster = new SimulatedCluster();
   await cluster.untilOwned();
-  const answer = await cluster.request(0, 'GET', '/peers');
-  assert.equal(answer.status, 404);
-  assert.deepEqual(answer.body, { error: 'suspicion is off' });
+  const response = await cluster.request(0, 'GET', '/peers');
+  assert.equal(response.status, 404);
+  assert.deepEqual(response.body, { error: 'suspicion is off' });
 });
 
-test('`peers` prints a table, or JSON for scripts; exit code 2 for a refusal, 3 for no answer', async () => {
+test('`peers` prints a table, or JSON with --json; exit code 2 if the request is rejected, 3 without a response', async () => {
   const cluster = new SimulatedCluster({ operator: SUSPICION_ON });
   await cluster.untilOwned();
   await cluster.clock.advance(15_000);
-  const report = await reportOf(cluster, 0);
+  const report = await fetchReport(cluster, 0);
   let status = 200;
   const server = createServer((request, response) => {
     assert.equal(request.url, '/peers');
@@ -152,6 +159,6 @@
   assert.deepEqual([refused.code, refused.output], [2, '']);
   assert.match(refused.errors, /404: suspicion is off/);
   await new Promise((resolve) => server.close(resolve));
-  const down = await runCommand('peers', address);
-  assert.equal(down.code, 3);
+  const unreachable = await runCommand('peers', address);
+  assert.equal(unreachable.code, 3);
 });
--- a/test/suspicion-stalls.test.ts
+++ b/test/suspicion-stalls.test.ts
@@ -1,4 +1,4 @@
-/** @file Controllers whose processes stand still for a while and go on: one owner for each shard at any moment. */
+/** @file Controllers whose processes stall and resume: at most one owner per shard at any moment. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { moveCount, reassignmentTimes } from './fakes/ownership-history';
@@ -16,28 +16,28 @@
 
 const STALL_MS = 8_000;
 
-/** The owner stalls, and users go on at another controller. */
-const ownerStalls: Fault = async (play) => {
-  const { cluster, owner } = play;
-  freezeFor(play, owner, STALL_MS);
+/** The owner stalls, and users continue at another controller. */
+const ownerStalls: Fault = async (scenario) => {
+  const { cluster, owner } = scenario;
+  freezeFor(scenario, owner, STALL_MS);
   await submitAndCancelDuring(cluster, otherControllers(cluster, owner)[0] ?? 0);
   await cluster.clock.advance(STALL_MS + 2_000);
 };
 
-/** The owner dies for good, and the controller that is chosen to succeed it stalls as soon as a step is seen. */
+/** The owner dies for good, and its chosen successor stalls as soon as it has reached this step. */
 function successorStalls(step: 'chosen' | 'acquired' | 'confirmed'): Fault {
-  return async (play) => {
-    const { cluster, owner } = play;
-    killFor(play, owner, 60_000);
+  return async (scenario) => {
+    const { cluster, owner } = scenario;
+    killFor(scenario, owner, 60_000);
     const others = otherControllers(cluster, owner);
-    const successor = await untilStep(play, others, step);
-    freezeFor(play, successor, STALL_MS);
+    const successor = await untilStep(scenario, others, step);
+    freezeFor(scenario, successor, STALL_MS);
     await submitAndCancelDuring(cluster, others.find((other) => other !== successor) ?? 0);
     await cluster.clock.advance(60_000);
   };
 }
 
-/** Waits until a controller has come as far as a step of the handover, and tells which. */
+/** Waits until a controller has reached this step of the handover; returns its index. */
 async function untilStep(
   { cluster }: Parameters<Fault>[0],
   others: readonly number[],
@@ -60,18 +60,18 @@
     if (reached !== undefined) return reached;
     await cluster.clock.advance(5);
   }
-  assert.fail(`no controller was ${step}`);
+  assert.fail(`no controller reached "${step}"`);
 }
 
 const scenarios: { title: string; controllers?: number; fault: Fault }[] = [
-  { title: 'the owner stalls for 8 s and returns', fault: ownerStalls },
-  { title: 'the owner, of five controllers, stalls for 8 s and returns', controllers: 5, fault: ownerStalls },
+  { title: 'the owner stalls for 8 s and resumes', fault: ownerStalls },
+  { title: 'the owner, of five controllers, stalls for 8 s and resumes', controllers: 5, fault: ownerStalls },
   {
-    title: 'a controller that owns nothing and does not lead stalls for 8 s',
-    fault: async (play) => {
-      const { cluster, owner } = play;
-      const idle = otherControllers(cluster, owner).find((index) => index !== leaderIndex(cluster)) ?? 0;
-      freezeFor(play, idle, STALL_MS);
+    title: 'a controller that owns no shard and is not the leader stalls for 8 s',
+    fault: async (scenario) => {
+      const { cluster, owner } = scenario;
+      const follower = otherControllers(cluster, owner).find((index) => index !== leaderIndex(cluster)) ?? 0;
+      freezeFor(scenario, follower, STALL_MS);
       await submitAndCancelDuring(cluster, owner);
       await cluster.clock.advance(STALL_MS);
       assert.equal(cluster.owner, owner);
@@ -79,15 +79,15 @@
   },
   {
     title: 'the leader stalls for 8 s while another controller owns the shard',
-    fault: async (play) => {
-      const { cluster } = play;
-      // The owner's shard goes to another controller, which does not lead.
-      killFor(play, play.owner, 1_000);
+    fault: async (scenario) => {
+      const { cluster } = scenario;
+      // The owner's shard is reassigned to another controller, which is not the leader.
+      killFor(scenario, scenario.owner, 1_000);
       await cluster.clock.advance(100);
       const owner = await cluster.untilOwned();
       await cluster.clock.advance(8_000);
       const leader = leaderIndex(cluster);
-      freezeFor(play, leader, STALL_MS);
+      freezeFor(scenario, leader, STALL_MS);
       await submitAndCancelDuring(
         cluster,
         otherControllers(cluster, leader).find((index) => index !== owner) ?? 0,
@@ -95,20 +95,26 @@
       await cluster.clock.advance(STALL_MS);
     },
   },
-  { title: 'the chosen successor stalls for 8 s before it acquires', fault: successorStalls('chosen') },
-  { title: 'the successor stalls for 8 s when it has acquired', fault: successorStalls('acquired') },
   {
-    title: 'the successor stalls for 8 s when the first workers are confirmed',
+    title: 'the chosen successor stalls for 8 s before it acquires the shard',
+    fault: successorStalls('chosen'),
+  },
+  {
+    title: 'the successor stalls for 8 s after it has acquired the shard',
+    fault: successorStalls('acquired'),
+  },
+  {
+    title: 'the successor stalls for 8 s when its first worker is confirmed',
     fault: successorStalls('confirmed'),
   },
   {
-    title: 'two stalls that overlap: the owner, and then its successor',
-    fault: async (play) => {
-      const { cluster, owner } = play;
-      freezeFor(play, owner, STALL_MS);
+    title: 'the owner and then its successor stall, and both stalls overlap',
+    fault: async (scenario) => {
+      const { cluster, owner } = scenario;
+      freezeFor(scenario, owner, STALL_MS);
       await cluster.clock.advance(5_000);
       const successor = await cluster.untilOwned();
-      freezeFor(play, successor, STALL_MS);
+      freezeFor(scenario, successor, STALL_MS);
       const reader = otherControllers(cluster, owner).find((index) => index !== successor) ?? 0;
       await submitAndCancelDuring(cluster, reader);
       await cluster.clock.advance(2 * STALL_MS);
@@ -117,11 +123,11 @@
   {
     title: 'two of five controllers stall at the same time',
     controllers: 5,
-    fault: async (play) => {
-      const { cluster, owner } = play;
+    fault: async (scenario) => {
+      const { cluster, owner } = scenario;
       const [second = 0, reader = 0] = otherControllers(cluster, owner);
-      freezeFor(play, owner, STALL_MS);
-      freezeFor(play, second, STALL_MS);
+      freezeFor(scenario, owner, STALL_MS);
+      freezeFor(scenario, second, STALL_MS);
       await submitAndCancelDuring(cluster, reader);
       await cluster.clock.advance(2 * STALL_MS);
     },
@@ -139,11 +145,11 @@
     });
   }
 
-  test(`all controllers stall for 4 s: nobody is condemned, no shard moves; suspicion ${name}`, async () => {
+  test(`all controllers stall for 4 s: none is declared failed, no shard moves; suspicion ${name}`, async () => {
     const { history } = await runFaultScenario(
-      async (play) => {
-        const { cluster } = play;
-        for (const index of cluster.controllers.keys()) freezeFor(play, index, 4_000);
+      async (scenario) => {
+        const { cluster } = scenario;
+        for (const index of cluster.controllers.keys()) freezeFor(scenario, index, 4_000);
         await cluster.clock.advance(8_000);
         await submitAndCancelDuring(cluster, 0);
       },
@@ -155,11 +161,11 @@
   test(`all controllers are slow for 20 s: no shard moves; suspicion ${name}`, async () => {
     const { history } = await runFaultScenario(
       async ({ cluster }) => {
-        const ends = [...cluster.controllers.keys()].map((index) => cluster.delayProcess(index, 300));
+        const endDelays = [...cluster.controllers.keys()].map((index) => cluster.delayProcess(index, 300));
         await cluster.clock.advance(10_000);
         await submitAndCancelDuring(cluster, 0);
         await cluster.clock.advance(10_000);
-        for (const end of ends) end();
+        for (const endDelay of endDelays) endDelay();
       },
       { operator },
     );
--- a/test/suspicion-waking.test.ts
+++ b/test/suspicion-waking.test.ts
@@ -1,4 +1,4 @@
-/** @file A controller that stands still between a check and an effect checks its right to act anew when it goes on. */
+/** @file A controller that stalls between a check of its lease and an effect checks the lease again when it resumes. */
 import assert from 'node:assert/strict';
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -18,77 +18,78 @@
 } from './suspicion-steps';
 
 const STALL_MS = 8_000;
-const SEARCH_MS = 20_000;
+const REQUEST_WAIT_MS = 20_000;
 
-/** A request of the owner, by its path and what its transaction changes. */
-type Match = (path: string, changed: readonly string[]) => boolean;
+/** Matches a request of the owner by its path and the keys that its transaction changes. */
+type RequestFilter = (path: string, changed: readonly string[]) => boolean;
 
-const changes =
-  (prefix: string): Match =>
+const writesTo =
+  (prefix: string): RequestFilter =>
   (path, changed) =>
     path === '/txn' && changed.some((key) => key.startsWith(prefix));
 
-const awaits: { title: string; match: Match }[] = [
-  { title: 'an acceptance', match: changes('live/job/') },
-  { title: 'a record of completions', match: changes('live/done/') },
-  { title: 'the end of a job', match: changes('final/') },
-  { title: 'a record of a machine', match: changes('live/machine/') },
-  { title: 'a raise of the token', match: changes('live/baton') },
+const awaitedRequests: { title: string; match: RequestFilter }[] = [
+  { title: 'the record of an accepted job', match: writesTo('live/job/') },
+  { title: 'a record of completions', match: writesTo('live/done/') },
+  { title: 'the record of an ended job', match: writesTo('final/') },
+  { title: 'a record of a machine', match: writesTo('live/machine/') },
+  { title: 'an increase of the fencing token', match: writesTo('live/baton') },
   { title: 'a command', match: (path) => path === '/do' },
   { title: 'a rental', match: (path) => path === '/hosts' },
-  { title: 'a return of machines', match: (path) => path === '/hosts/release' },
-  { title: 'a list of the cloud', match: (path) => path.startsWith('/hosts?') },
+  { title: 'a release of machines', match: (path) => path === '/hosts/release' },
+  { title: 'a list of the machines in the cloud', match: (path) => path.startsWith('/hosts?') },
   { title: 'a watch', match: (path) => path.startsWith('/changes') },
   { title: 'a renewal of the lease', match: (path) => path.endsWith('/extend') },
 ];
 
-/** What a request to the state service would change. */
+/** The keys that a request to the state service would change. */
 function changedKeys(body: unknown): string[] {
   const { apply = [] } = (body ?? {}) as { apply?: { set?: string; delete?: string }[] };
   return apply.map((change) => change.set ?? change.delete ?? '');
 }
 
-/** The owner stands still just as an answer to such a request reaches it. */
-function stallAt(match: Match): Fault {
-  return async (play) => {
-    const { cluster, owner } = play;
+/** The owner stalls just as a response to such a request reaches it. */
+function stallAt(matches: RequestFilter): Fault {
+  return async (scenario) => {
+    const { cluster, owner } = scenario;
     let hasStalled = false;
     cluster.onResponse = (index, { path, body }) => {
-      if (hasStalled || index !== owner || !match(path, changedKeys(body))) return;
+      if (hasStalled || index !== owner || !matches(path, changedKeys(body))) return;
       hasStalled = true;
-      freezeFor(play, owner, STALL_MS);
+      freezeFor(scenario, owner, STALL_MS);
     };
-    // Work of all kinds: jobs that need new machines, end, and leave machines idle; a start whose answer is lost.
+    // All kinds of work: jobs that need new machines, end and leave machines idle; a command whose response is lost.
     cluster.capacity += 4;
-    const loseOne = cluster.network.rule(({ path }) => (path === '/do' ? 'lose answer' : undefined));
-    cluster.clock.after(400, loseOne);
-    // A user whose controller stands still asks another.
-    const reader = otherControllers(cluster, owner)[0] ?? 0;
+    const endLoss = cluster.network.rule(({ path }) => (path === '/do' ? 'lose answer' : undefined));
+    cluster.clock.after(400, endLoss);
+    // A user whose controller stalls retries at another.
+    const otherController = otherControllers(cluster, owner)[0] ?? 0;
     await cluster
       .submit('req-4', { pieces: 30 }, 2, owner)
-      .catch(() => cluster.submit('req-4', { pieces: 30 }, 2, reader));
-    for (let waited = 0; waited < SEARCH_MS && !hasStalled; waited += 50) await cluster.clock.advance(50);
+      .catch(() => cluster.submit('req-4', { pieces: 30 }, 2, otherController));
+    for (let waited = 0; waited < REQUEST_WAIT_MS && !hasStalled; waited += 50)
+      await cluster.clock.advance(50);
     if (!hasStalled) await cluster.clock.advance(60_000);
-    assert.ok(hasStalled, 'no such request was answered');
-    await submitAndCancelDuring(cluster, reader);
+    assert.ok(hasStalled, 'no such request got a response');
+    await submitAndCancelDuring(cluster, otherController);
     await cluster.clock.advance(STALL_MS + 4_000);
   };
 }
 
-for (const { title, match } of awaits) {
-  test(`the owner stalls for 8 s just as ${title} is answered: nothing leaves without the right to act`, async () => {
-    await runFaultScenario(stallAt(match), { operator: SUSPICION_ON });
+for (const { title, match: matches } of awaitedRequests) {
+  test(`the owner stalls for 8 s at the response to ${title}: it sends nothing without a valid lease`, async () => {
+    await runFaultScenario(stallAt(matches), { operator: SUSPICION_ON });
   });
 }
 
 for (const offsetMs of [0, 37, 90, 171, 260, 433]) {
-  test(`the owner stalls for 8 s at its timers, ${offsetMs} ms into a burst`, async () => {
+  test(`the owner stalls for 8 s, ${offsetMs} ms into a burst of starts: it sends nothing without a valid lease`, async () => {
     await runFaultScenario(
-      async (play) => {
-        const { cluster, owner } = play;
+      async (scenario) => {
+        const { cluster, owner } = scenario;
         await cluster.submit('req-4', { pieces: 30 }, 2, owner);
         await cluster.clock.advance(offsetMs);
-        freezeFor(play, owner, STALL_MS);
+        freezeFor(scenario, owner, STALL_MS);
         await submitAndCancelDuring(cluster, otherControllers(cluster, owner)[0] ?? 0);
         await cluster.clock.advance(STALL_MS + 4_000);
       },
@@ -97,7 +98,7 @@
   });
 }
 
-test('a return of machines whose turn inside the rate comes after the right to act has ended is not sent', async () => {
+test('a rate-limited release of machines is not sent if the lease expires while it waits for a token', async () => {
   const clock = new FakeClock();
   const sent: string[] = [];
   const http = {
@@ -107,18 +108,18 @@
     },
   };
   const cloud = new Cloud(http, 'cloud', new RateLimit(clock, 1, 1), 1_000);
-  let mayAct = true;
-  await cloud.deleteMachines(['host-1'], () => mayAct);
-  const late = cloud.deleteMachines(['host-2'], () => mayAct);
-  const refused = assert.rejects(late, AuthorityLostError);
+  let hasAuthority = true;
+  await cloud.deleteMachines(['host-1'], () => hasAuthority);
+  const rateLimited = cloud.deleteMachines(['host-2'], () => hasAuthority);
+  const refused = assert.rejects(rateLimited, AuthorityLostError);
   await clock.advance(500);
-  mayAct = false;
+  hasAuthority = false;
   await clock.advance(1_000);
   await refused;
   assert.equal(sent.length, 1);
 });
 
-/** A server that counts what reaches it. */
+/** A server that counts the requests it receives. */
 async function countingServer(): Promise<{ server: Server; address: string; count(): number }> {
   let count = 0;
   const server = createServer((request, response) => {
@@ -131,21 +132,21 @@
   return { server, address: `127.0.0.1:${port}`, count: () => count };
 }
 
-test('a command whose connection comes after the right to act has ended never leaves, new connection or old', async () => {
+test('a command is not sent if the lease expires before it gets a connection, new or reused', async () => {
   const { server, address, count } = await countingServer();
   const http = new HttpClient(codec, { perHost: 1, idle: () => 4 }, 1_000);
-  const send = (mayLeave: () => boolean) => http.call(address, 'POST', '/do', {}, 1_000, mayLeave);
+  const send = (hasAuthority: () => boolean) => http.call(address, 'POST', '/do', {}, 1_000, hasAuthority);
   const wasNotSent = (error: unknown): boolean => error instanceof NoResponseError && !error.mayHaveExecuted;
   await assert.rejects(
     send(() => false),
     wasNotSent,
   );
   assert.equal((await send(() => true)).status, 200);
-  // The second waits for the first one's connection; meanwhile the right to act ends.
-  let mayLeave = true;
+  // The second waits for the connection of the first; meanwhile the lease expires.
+  let hasAuthority = true;
   const first = send(() => true);
-  const second = send(() => mayLeave);
-  mayLeave = false;
+  const second = send(() => hasAuthority);
+  hasAuthority = false;
   const refused = assert.rejects(second, wasNotSent);
   await first;
   await refused;
