--- a/test/fakes/task-execution.ts
+++ b/test/fakes/task-execution.ts
@@ -1,12 +1,12 @@
-/** @file Runs attempts of tasks on a machine in memory, as commands say. */
+/** @file Executes a fake worker's commands: starts, runs and stops attempts of tasks. */
 import type { MachineClock } from './machine-clock';
 
-/** How long it takes to fetch what a task needs. */
+/** How long it takes to fetch the files that a task needs. */
 const FETCH_MS = 300;
-/** How long a task runs on a machine that fails every task. */
+/** How long a task runs before it fails on a machine that fails every task. */
 const FAILED_RUN_MS = 500;
 
-/** An attempt, with its state in the words of the wire. */
+/** An attempt, with the wire's names of its states. */
 export interface Attempt {
   readonly job: string;
   readonly task: number;
@@ -16,7 +16,7 @@
   stored?: boolean;
 }
 
-/** A command of the wire. */
+/** A command in its wire format. */
 export interface Command {
   verb: string;
   piece: string;
@@ -24,7 +24,7 @@
   leewayS?: number;
 }
 
-/** What a worker knows of a job: how long its tasks run and save their work, and what they use. */
+/** What a worker knows about a job: how long its tasks run and take to save a checkpoint, and the CPUs of a task. */
 export interface JobProfile {
   runS: number;
   saveS: number;
@@ -32,7 +32,7 @@
   cpus: number;
 }
 
-/** Knows the jobs of tasks, and is notified of what happens to tasks on machines. */
+/** Provides job profiles, and is notified of task starts and ends on machines. */
 export interface TaskObserver {
   jobProfile(job: string): JobProfile | undefined;
   onTaskStarted(task: string, machine: string): void;
@@ -41,7 +41,7 @@
   hasCompleted(task: string): boolean;
 }
 
-const nameOf = ({ job, task }: Attempt): string => `${job}/${task}`;
+const taskIdOf = ({ job, task }: Attempt): string => `${job}/${task}`;
 
 /** The attempts on one machine. */
 export class TaskExecution {
@@ -50,21 +50,21 @@
   /** Every start command that was executed, by task and number of the attempt. */
   readonly startCommands: string[] = [];
   readonly reapCommands: string[] = [];
-  /** Fails every task that it starts. */
+  /** Whether every task that starts here fails. */
   failsTasks = false;
 
   constructor(
     private readonly machine: { readonly id: string; readonly cpus: number },
-    private readonly time: MachineClock,
+    private readonly clock: MachineClock,
     private readonly tasks: TaskObserver,
   ) {}
 
-  /** Tasks that were commanded to start and are not running yet. */
+  /** Tasks whose start command was executed and that don't run yet. */
   get startingTasks(): string[] {
-    return [...this.attempts.values()].filter(({ state }) => state === 'fetching').map(nameOf);
+    return [...this.attempts.values()].filter(({ state }) => state === 'fetching').map(taskIdOf);
   }
 
-  /** CPUs that no task holds. */
+  /** CPUs that no attempt uses. */
   get freeCpus(): number {
     return [...this.attempts.values()]
       .filter(({ state }) => state !== 'ended')
@@ -87,9 +87,9 @@
     }
   }
 
-  /** Every attempt is gone at once. */
+  /** Drops all attempts at once. */
   dropAll(): void {
-    for (const attempt of this.attempts.values()) this.#leave(attempt);
+    for (const attempt of this.attempts.values()) this.#notifyTaskLeft(attempt);
     this.attempts.clear();
   }
 
@@ -107,7 +107,7 @@
       attempt.state = 'ended';
       attempt.cause = refusal;
     } else if (profile) {
-      this.time.after(FETCH_MS, () => {
+      this.clock.after(FETCH_MS, () => {
         this.#run(key, attempt, profile);
       });
     }
@@ -127,10 +127,10 @@
   #run(key: string, attempt: Attempt, profile: JobProfile): void {
     if (this.attempts.get(key) !== attempt || attempt.state !== 'fetching') return;
     attempt.state = 'running';
-    this.tasks.onTaskStarted(nameOf(attempt), this.machine.id);
-    // The result of a task that completed is kept.
-    const runMs = this.tasks.hasCompleted(nameOf(attempt)) ? 0 : profile.runS * 1000;
-    this.time.after(this.failsTasks ? FAILED_RUN_MS : runMs, () => {
+    this.tasks.onTaskStarted(taskIdOf(attempt), this.machine.id);
+    // If the task completed in an earlier attempt, its result is stored, and this attempt ends at once.
+    const runMs = this.tasks.hasCompleted(taskIdOf(attempt)) ? 0 : profile.runS * 1000;
+    this.clock.after(this.failsTasks ? FAILED_RUN_MS : runMs, () => {
       if (this.attempts.get(key) === attempt && attempt.state === 'running') {
         this.#end(attempt, this.failsTasks ? 'error' : 'done');
       }
@@ -142,7 +142,7 @@
     const canSave = profile !== undefined && profile.checkpointS > 0 && graceS >= profile.saveS;
     if (attempt.state === 'running' && canSave) {
       attempt.state = 'flushing';
-      this.time.after(profile.saveS * 1000, () => {
+      this.clock.after(profile.saveS * 1000, () => {
         if (attempt.state !== 'flushing') return;
         this.#end(attempt, 'halted');
         attempt.stored = true;
@@ -153,15 +153,15 @@
   }
 
   #end(attempt: Attempt, cause: string): void {
-    this.#leave(attempt);
+    this.#notifyTaskLeft(attempt);
     attempt.state = 'ended';
     attempt.cause = cause;
-    if (cause === 'done') this.tasks.onTaskCompleted(nameOf(attempt));
+    if (cause === 'done') this.tasks.onTaskCompleted(taskIdOf(attempt));
   }
 
-  #leave(attempt: Attempt): void {
+  #notifyTaskLeft(attempt: Attempt): void {
     if (attempt.state === 'running' || attempt.state === 'flushing') {
-      this.tasks.onTaskLeft(nameOf(attempt), this.machine.id);
+      this.tasks.onTaskLeft(taskIdOf(attempt), this.machine.id);
     }
   }
 }
