--- a/test/controller-restarts.test.ts
+++ b/test/controller-restarts.test.ts
@@ -96,7 +96,7 @@
   const old = await cluster.untilOwned();
   assert.ok(
     cluster.clock.now() - firstAt < 1_000,
-    'a shard that never had an owner is acquired without waiting',
+    'a shard without an earlier owner is acquired at once, because nobody can hold a lease of it',
   );
   await cluster.submit('req-1', { pieces: 4 }, 60);
   await cluster.until('4 tasks run', () => cluster.runningTasks.length >= 4);
--- a/test/leader-changes.test.ts
+++ b/test/leader-changes.test.ts
@@ -44,7 +44,7 @@
   [900, 0],
   [12_000, 12],
 ] as const) {
-  test(`after two failovers all controllers are down for ${downMs} ms: one restarts, then the others: all tasks of the job run`, async () => {
+  test(`after two failovers all controllers are down for ${downMs} ms, then one restarts before the others: only lost tasks are started again`, async () => {
     const cluster = new SimulatedCluster();
     await cluster.submit('req-1', { pieces: 12, reckonS: 120 }, 120);
     await cluster.until('12 tasks run', () => cluster.runningTasks.length === 12);
--- a/test/suspicion-handover.test.ts
+++ b/test/suspicion-handover.test.ts
@@ -60,7 +60,7 @@
   });
 }
 
-test('the owner stops before it releases its lease: the release is confirmed to it only after the successor acquired the shard', async () => {
+test('the owner stops before it releases its lease: the confirmation arrives long after the successor acquired the shard', async () => {
   const { history } = await runFaultScenario(
     async (scenario) => {
       const { cluster, owner } = scenario;
