--- a/src/bookkeeping/job-store.ts
+++ b/src/bookkeeping/job-store.ts
@@ -54,7 +54,7 @@
     return { ...status, unfinishedDependencies: dependencies.unfinishedDependencies(id) };
   }
 
-  /** Applies a live record that was just read to the watch cache if the job has dependencies; returns whether it has any. */
+  /** Applies the live record to the watch cache if the job has dependencies; returns whether it has any. */
   #applyDependencies(live: Entry): boolean {
     const record = read.job(live.value);
     if (!record?.job.dependencies && record?.dependencyParts === undefined) return false;
