--- a/test/format-gate.test.ts
+++ b/test/format-gate.test.ts
@@ -15,13 +15,13 @@
 const RATE = 1_000;
 const TIMEOUT_MS = 1_000;
 
-/** A state service, and the gates of controllers that use it, each with a copy of the records of its own. */
+/** A key-value store, and the format gates of controllers that use it, each with its own watch cache. */
 class Deployment {
   readonly #clock = new FakeClock();
-  readonly service = new FakeKeyValueStore(this.#clock);
+  readonly fakeStore = new FakeKeyValueStore(this.#clock);
   readonly store = new HttpKeyValueStore({
     http: {
-      call: (to, method, path, body) => this.service.handle({ from: 'node', to, method, path, body }),
+      call: (to, method, path, body) => this.fakeStore.handle({ from: 'node', to, method, path, body }),
     },
     address: 'state',
     requests: new RateLimit(this.#clock, RATE, RATE),
@@ -29,8 +29,8 @@
     timeoutMs: TIMEOUT_MS,
   });
 
-  /** The gate of a controller whose copy of the records is as they are now, and stays so. */
-  async gate(node: string): Promise<FormatGate> {
+  /** The format gate of a controller whose watch cache is loaded now and never updated. */
+  async gate(controller: string): Promise<FormatGate> {
     const cache = new WatchCache({
       store: this.store,
       prefix: LIVE_PREFIX,
@@ -40,7 +40,7 @@
     });
     await cache.step();
     return new FormatGate({
-      controllerId: node,
+      controllerId: controller,
       controllers: CONTROLLERS,
       store: this.store,
       cache,
@@ -49,52 +49,52 @@
     });
   }
 
-  /** Puts a mark there as another version or an operator may have left it. */
-  async put(node: string, value: unknown): Promise<void> {
-    await this.store.compareAndSwap([], [{ put: KEY.format(node), value }]);
+  /** Writes a format record, as another version or an operator may have done. */
+  async putFormatRecord(controller: string, value: unknown): Promise<void> {
+    await this.store.compareAndSwap([], [{ put: KEY.format(controller), value }]);
   }
 }
 
-test('the gate is open once the marks of all controllers are there, also when the copy lags behind', async () => {
+test('the gate opens once all controllers have a format record, even if the watch cache lags behind', async () => {
   const deployment = new Deployment();
-  const early = await deployment.gate('node-0');
-  for (const [count, node] of CONTROLLERS.entries()) {
-    assert.equal(await early.confirmOpenForFormat2(), false, `${count} marks`);
-    assert.equal(await (await deployment.gate(node)).writeFormatRecord(), true);
+  const staleGate = await deployment.gate('node-0');
+  for (const [count, controller] of CONTROLLERS.entries()) {
+    assert.equal(await staleGate.confirmOpenForFormat2(), false, `${count} format records`);
+    assert.equal(await (await deployment.gate(controller)).writeFormatRecord(), true);
   }
-  assert.equal(early.isOpenForFormat2, false);
-  assert.deepEqual(early.controllersWithout(), CONTROLLERS);
-  assert.equal(await early.confirmOpenForFormat2(), true);
-  assert.equal(early.isOpenForFormat2, true);
+  assert.equal(staleGate.isOpenForFormat2, false);
+  assert.deepEqual(staleGate.controllersWithout(), CONTROLLERS);
+  assert.equal(await staleGate.confirmOpenForFormat2(), true);
+  assert.equal(staleGate.isOpenForFormat2, true);
   assert.equal((await deployment.gate('node-1')).isOpenForFormat2, true);
 });
 
-test('a gate that was seen open stays open, whatever becomes of the marks or the state service', async () => {
+test('an open gate stays open when a format record is deleted and the key-value store is unavailable', async () => {
   const deployment = new Deployment();
   for (const node of CONTROLLERS) await (await deployment.gate(node)).writeFormatRecord();
   const gate = await deployment.gate('node-0');
   assert.equal(gate.isOpenForFormat2, true);
   await deployment.store.compareAndSwap([], [{ delete: KEY.format('node-2') }]);
-  deployment.service.outage(true);
+  deployment.fakeStore.outage(true);
   assert.equal(gate.isOpenForFormat2, true);
   assert.equal(await gate.confirmOpenForFormat2(), true);
 });
 
-test('without an answer from the state service the gate is not taken for open', async () => {
+test('while the key-value store is unavailable, a closed gate stays closed', async () => {
   const deployment = new Deployment();
   for (const node of CONTROLLERS.slice(1)) await (await deployment.gate(node)).writeFormatRecord();
   const gate = await deployment.gate('node-0');
-  deployment.service.outage(true);
+  deployment.fakeStore.outage(true);
   await assert.rejects(gate.confirmOpenForFormat2(), StoreRejectedError);
   await assert.rejects(gate.writeFormatRecord(), StoreRejectedError);
   assert.equal(gate.isOpenForFormat2, false);
 });
 
-test('marks of an older format, or unreadable ones, do not count, and are replaced by their own controller', async () => {
+test('format records that are malformed or of an older format do not count, and their controllers replace them', async () => {
   for (const value of [{ format: FORMAT.dependencies - 1 }, { format: 'new' }, {}, null, 'x']) {
     const deployment = new Deployment();
     for (const node of CONTROLLERS.slice(1)) await (await deployment.gate(node)).writeFormatRecord();
-    await deployment.put('node-0', value);
+    await deployment.putFormatRecord('node-0', value);
     const gate = await deployment.gate('node-0');
     assert.deepEqual(gate.controllersWithout(), ['node-0'], JSON.stringify(value));
     assert.equal(await gate.confirmOpenForFormat2(), false);
@@ -103,31 +103,27 @@
   }
 });
 
-test('each format has a gate of its own: a mark counts for its format and those before, and is raised later', async () => {
+test('each format has its own gate: a format record counts for its format and older ones, and is raised later', async () => {
   const deployment = new Deployment();
   for (const node of CONTROLLERS.slice(1)) await (await deployment.gate(node)).writeFormatRecord();
-  await deployment.put('node-0', { format: FORMAT.dependencies });
+  await deployment.putFormatRecord('node-0', { format: FORMAT.dependencies });
   const gate = await deployment.gate('node-0');
-  assert.equal(
-    gate.isOpenForFormat2,
-    true,
-    'dependencies are not refused while controllers go from one version to the next',
-  );
+  assert.equal(gate.isOpenForFormat2, true, 'dependencies are accepted during an upgrade to a newer format');
   assert.equal(gate.isOpenFor(FORMAT.admission), false);
   assert.deepEqual(gate.controllersWithout(), ['node-0']);
   assert.deepEqual(gate.controllersWithout(FORMAT.dependencies), []);
   assert.equal(await gate.writeFormatRecord(), true);
-  assert.deepEqual(deployment.service.data.get(KEY.format('node-0'))?.data, { format: RECORD_FORMAT });
+  assert.deepEqual(deployment.fakeStore.data.get(KEY.format('node-0'))?.data, { format: RECORD_FORMAT });
   const later = await deployment.gate('node-1');
   assert.equal(later.isOpenFor(FORMAT.admission), true);
 });
 
-test('the mark of a newer format counts, and is not replaced', async () => {
+test('a format record of a newer format counts, and is not replaced', async () => {
   const deployment = new Deployment();
   const newer = { format: RECORD_FORMAT + 1 };
-  await deployment.put('node-0', newer);
+  await deployment.putFormatRecord('node-0', newer);
   const gate = await deployment.gate('node-0');
   assert.equal(await gate.writeFormatRecord(), true);
-  assert.deepEqual(deployment.service.data.get(KEY.format('node-0'))?.data, newer);
+  assert.deepEqual(deployment.fakeStore.data.get(KEY.format('node-0'))?.data, newer);
   assert.deepEqual(gate.controllersWithout(), ['node-1', 'node-2']);
 });
--- a/test/formats.test.ts
+++ b/test/formats.test.ts
@@ -9,24 +9,24 @@
 import { collectSamples } from './formats/scenario';
 import { valueShape, wireShape } from './formats/shape';
 
-/** Kinds of records that production doesn't know, with their fields. */
+/** Kinds of records that the production version lacks, with their fields. */
 const NEW_RECORDS: Record<string, string[]> = {
   'live/format/NODE': ['.format: number', ': object', 'durable'],
 };
-/** Fields that production doesn't know, in kinds of records that it does; it drops them where it writes the record. */
+/** Fields that the production version lacks, in records that it knows; it drops them when it writes the record. */
 const NEW_FIELDS: Record<string, string[]> = {
-  // Written only once all controllers run the present version; `upgrade-dependencies.test.ts` holds that down.
+  // Written only once all controllers run the present version; `upgrade-dependencies.test.ts` checks this.
   'final/JOB': ['.endedAt: number'],
 };
-/** Field numbers that production doesn't know, in messages between controllers. */
+/** Field numbers that the production version lacks, in messages between controllers. */
 const NEW_PEER_FIELDS: string[] = [];
 
-/** However little a value may hold, production's layout is kept while production may read it. */
-const LOWEST_VALUE_BYTES = 2_048;
+/** Even at this value limit, the layout of the production version is kept while it may read the records. */
+const LOWEST_VALUE_LIMIT_BYTES = 2_048;
 
 const samples: Samples = production;
 
-/** Each kind of record: how its reader is called, and the key that the present version would look under. */
+/** The reader of each kind of record, and the key under which the present version looks for it. */
 const KINDS: Record<string, { read(value: unknown): unknown; key(...parts: string[]): string }> = {
   'live/leader': { read: read.leader, key: () => KEY.leader },
   'live/baton': { read: read.fencingToken, key: () => KEY.fencingToken },
@@ -37,7 +37,7 @@
   'live/machine/MACHINE': { read: read.machine, key: (id = '') => KEY.machine(id) },
   'live/job/JOB': { read: read.job, key: (id = '') => KEY.job(id) },
   'live/done/JOB/NUMBER': { read: read.done, key: (id = '', chunk) => KEY.done(id, Number(chunk)) },
-  // Only that it is there counts.
+  // Only the existence of the record matters: it has no reader.
   'live/keep/NUMBER/NODE': {
     read: (value) => value,
     key: (shard, node = '') => KEY.relay(Number(shard), node),
@@ -45,7 +45,7 @@
   'final/JOB': { read: read.final, key: (id = '') => KEY.final(id) },
 };
 
-/** A peer message as the production version reads it, in its own terms. */
+/** A peer message as the production version reads it, with that version's names. */
 interface ProductionMessage {
   kind: string;
   event?: { key: string; value?: unknown };
@@ -54,7 +54,7 @@
   promise?: Record<string, unknown>;
 }
 
-/** Messages in production's terms, and in those of the present version. */
+/** Message kinds of the production version, and their names in the present version. */
 const PRESENT_KINDS: Record<string, PeerMessage['kind']> = {
   nudge: 'change notification',
   progress: 'heartbeat',
@@ -62,8 +62,8 @@
   promise: 'lease extension grant',
 };
 
-/** The same message in the present version's terms: every field is renamed, none is added, left out or changed. */
-function inPresentTerms({ kind, event, progress, ask, promise }: ProductionMessage): unknown {
+/** The message with the present version's names: fields are renamed, and none is added, left out or changed. */
+function withPresentNames({ kind, event, progress, ask, promise }: ProductionMessage): unknown {
   const present = { kind: PRESENT_KINDS[kind] ?? kind };
   if (progress) {
     const { fresh, unheard, turnedAway, ...rest } = progress;
@@ -84,7 +84,7 @@
 
 const keyParts = (key: string): string[] => key.split('/').slice(key.startsWith('final/') ? 1 : 2);
 
-/** The kinds of records with all their fields. */
+/** All fields of each kind of record. */
 function recordShapes({ records }: Samples): Record<string, string[]> {
   const shapes: Record<string, Set<string>> = {};
   for (const { key, value, isHeldByLease } of records) {
@@ -95,12 +95,12 @@
   return Object.fromEntries(Object.entries(shapes).map(([kind, shape]) => [kind, [...shape].sort()]));
 }
 
-/** The kinds of messages between controllers with all their field numbers, and what notices of changes carry. */
+/** All field numbers of each kind of peer message, and the fields of the records in change notifications. */
 function peerShapes({ peerMessages }: Samples): Record<string, string[]> {
   const shapes: Record<string, Set<string>> = {};
   for (const { base64, message } of peerMessages) {
-    const { kind: term, event } = message as ProductionMessage;
-    const kind = PRESENT_KINDS[term] ?? term;
+    const { kind: productionKind, event } = message as ProductionMessage;
+    const kind = PRESENT_KINDS[productionKind] ?? productionKind;
     const shape = (shapes[event ? `${kind} ${keyPattern(event.key)}` : kind] ??= new Set());
     for (const field of wireShape(Buffer.from(base64, 'base64'))) shape.add(field);
     if (event && 'value' in event) for (const field of valueShape(event.value)) shape.add(field);
@@ -108,7 +108,7 @@
   return Object.fromEntries(Object.entries(shapes).map(([kind, shape]) => [kind, [...shape].sort()]));
 }
 
-test('there is a sample of every kind of record and of peer message', () => {
+test('the samples contain every kind of record and peer message, and every field number', () => {
   const kinds = new Set(samples.records.map(({ key }) => keyPattern(key)));
   assert.deepEqual([...kinds].sort(), Object.keys(KINDS).sort());
   const messages = samples.peerMessages.map(({ message }) => message as ProductionMessage);
@@ -139,7 +139,7 @@
   }
 });
 
-test("production's records are found and read in full", () => {
+test('records of the production version are found and read with all fields', () => {
   for (const { key, value } of samples.records) {
     const kind = KINDS[keyPattern(key)];
     assert.ok(kind, key);
@@ -148,18 +148,18 @@
   }
 });
 
-test("production's messages are read as production reads them, and written with the same bytes", () => {
+test('peer messages of the production version are read with the same contents, and written with the same bytes', () => {
   for (const { base64, message } of samples.peerMessages) {
     const bytes = Buffer.from(base64, 'base64');
     const read = readPeerMessage(bytes);
     assert.ok(read);
-    assert.deepEqual(read, inPresentTerms(message as ProductionMessage));
+    assert.deepEqual(read, withPresentNames(message as ProductionMessage));
     const written = writePeerMessage(read);
     assert.equal(Buffer.from(written).toString('base64'), base64);
   }
 });
 
-test("production's bitmaps are read and written bit for bit", () => {
+test('bitmaps of the production version are read and written bit for bit', () => {
   for (const { tasks, done, chunks } of production.bitmaps) {
     const job = { id: 'req-1', tasks };
     const bitmap = new Bitmap(tasks);
@@ -169,9 +169,9 @@
       return bitmap.merge(stored.first, stored.bits);
     });
     assert.deepEqual(merged, done);
-    // Every task completed: the records are all that there are.
+    // With every task completed, the groups cover all completion records of the job.
     const all = Array.from({ length: tasks }, (_, task) => task);
-    const layout = completionLayout(job, LOWEST_VALUE_BYTES, false);
+    const layout = completionLayout(job, LOWEST_VALUE_LIMIT_BYTES, false);
     const records = groupByRecord(job, all, layout).map((group) => group.record);
     assert.deepEqual(
       records.map(({ key }) => key),
@@ -184,7 +184,7 @@
   }
 });
 
-test('what is written now has the keys, fields and field numbers of production', async () => {
+test('the present version writes the keys, fields and field numbers of production, plus the listed ones', async () => {
   const present = await collectSamples();
   const expectedRecords = recordShapes(samples);
   for (const [kind, fields] of Object.entries(NEW_FIELDS)) expectedRecords[kind]?.push(...fields);
--- a/test/upgrade-dependencies.test.ts
+++ b/test/upgrade-dependencies.test.ts
@@ -14,7 +14,7 @@
   cluster.restart(index, NEW);
 }
 
-function submitAfter(cluster: SimulatedCluster, index: number, id: string, awaits: string[]) {
+function submitDependent(cluster: SimulatedCluster, index: number, id: string, awaits: string[]) {
   return cluster.request(index, 'POST', '/work', submission(id, { awaits }));
 }
 
@@ -22,16 +22,16 @@
   return cluster.store.data.get(`final/${id}`)?.data as Record<string, unknown>;
 }
 
-test('while an old controller serves, a submission with dependencies gets 503 and leaves no record', async () => {
+test('while a controller runs the old version, a submission with dependencies gets 503 and no record is written', async () => {
   const cluster = new SimulatedCluster({ versions: [NEW, NEW, OLD] });
   await cluster.untilOwned();
   await cluster.submit('req-1', {}, 5, 0);
   for (const index of [0, 1]) {
-    assert.equal((await submitAfter(cluster, index, 'req-2', ['req-1'])).status, 503);
-    // Nothing of the kind is needed: such a job is an ordinary one.
-    assert.equal((await submitAfter(cluster, index, `req-1${index}`, [])).status, 201);
-    // An accepted job stays accepted, whatever a repeated submission names.
-    assert.equal((await submitAfter(cluster, index, 'req-1', ['req-9'])).status, 200);
+    assert.equal((await submitDependent(cluster, index, 'req-2', ['req-1'])).status, 503);
+    // A job without dependencies needs no new record format.
+    assert.equal((await submitDependent(cluster, index, `req-1${index}`, [])).status, 201);
+    // A repeated submission of an accepted job gets 200, whichever dependencies it contains.
+    assert.equal((await submitDependent(cluster, index, 'req-1', ['req-9'])).status, 200);
   }
   assert.equal(cluster.store.data.get('live/job/req-2'), undefined);
   await cluster.untilJobState('req-1', 'done');
@@ -39,12 +39,16 @@
   cluster.assertInvariants();
 });
 
-test('dependencies are taken right after the last restart, also where the copy lacks a mark', async () => {
+test('dependencies are accepted right after the last upgrade, even if a watch cache lacks a format record', async () => {
   const cluster = new SimulatedCluster({ versions: [OLD, OLD, OLD] });
   await cluster.untilOwned();
   await cluster.submit('req-1', { pieces: 4, reckonS: 40 }, 40);
   for (const index of [0, 1, 2]) await upgrade(cluster, index);
-  await cluster.until('the last mark is written', () => cluster.store.data.has('live/format/node-2'), 10);
+  await cluster.until(
+    'the last format record is written',
+    () => cluster.store.data.has('live/format/node-2'),
+    10,
+  );
   await cluster.submit('req-2', { awaits: ['req-1'], reckonS: 2 }, 2, 1);
   await cluster.submit('req-3', { awaits: ['req-2'], reckonS: 2 }, 2, 0);
   assert.equal(await cluster.jobState('req-3', 2), 'pending');
@@ -53,7 +57,7 @@
   cluster.assertInvariants();
 });
 
-test('a job that the old version accepted and ended may be named after the upgrade', async () => {
+test('after the upgrade, a job may depend on jobs that ended under the old version', async () => {
   const cluster = new SimulatedCluster({ versions: [OLD, OLD, OLD] });
   await cluster.untilOwned();
   await cluster.submit('req-1');
@@ -69,7 +73,7 @@
   cluster.assertInvariants();
 });
 
-test('controllers killed in the middle of the roll come back in two versions, and dependencies wait for the last', async () => {
+test('all controllers restart during a rolling upgrade: dependencies are accepted only after the last upgrade', async () => {
   const cluster = new SimulatedCluster({ versions: [OLD, OLD, OLD] });
   await cluster.untilOwned();
   await cluster.submit('req-1', { pieces: 3 }, 20);
@@ -79,14 +83,14 @@
   await cluster.clock.advance(RESTART_MS);
   for (const index of [0, 1, 2]) cluster.restart(index);
   await cluster.untilOwned();
-  assert.equal((await submitAfter(cluster, 0, 'req-2', ['req-1'])).status, 503);
+  assert.equal((await submitDependent(cluster, 0, 'req-2', ['req-1'])).status, 503);
   for (const index of [1, 2]) await upgrade(cluster, index);
   await cluster.submit('req-2', { awaits: ['req-1'] }, 2, 2);
   await cluster.untilJobState('req-2', 'done', 200);
   cluster.assertInvariants();
 });
 
-test('an open gate stays open while a controller is away', async () => {
+test('an open format gate stays open while a controller is down', async () => {
   const cluster = new SimulatedCluster();
   await cluster.untilOwned();
   await cluster.submit('req-1', {}, 30);
--- a/test/upgrade-gate.test.ts
+++ b/test/upgrade-gate.test.ts
@@ -14,11 +14,11 @@
   upgrade,
 } from './upgrade-steps';
 
-test('the gate is closed for as long as one controller has never run the new version', async () => {
+test('the format gate stays closed while one controller has never run the new version', async () => {
   const cluster = new SimulatedCluster({ versions: [NEW, NEW, OLD] });
   await cluster.clock.advance(30_000);
   assert.deepEqual(controllersWithFormatRecord(cluster), ['node-0', 'node-1']);
-  // Neither its absence nor its return opens the gate.
+  // Neither a stop nor a restart of the old controller opens the gate.
   cluster.kill(2);
   await cluster.clock.advance(30_000);
   assert.deepEqual(controllersWithFormatRecord(cluster), ['node-0', 'node-1']);
@@ -28,7 +28,7 @@
   cluster.assertInvariants();
 });
 
-test('the gate opens right after the last restart, though the other controllers are away by then', async () => {
+test('the format gate opens right after the last upgrade, even if the other controllers are down by then', async () => {
   const cluster = new SimulatedCluster({ versions: ALL_OLD });
   await cluster.untilOwned();
   for (const index of [0, 1]) {
@@ -42,7 +42,7 @@
   assert.ok(isFormatGateOpen(cluster));
 });
 
-test('the gate opens though no controller leads', async () => {
+test('the format gate opens even if there is no leader', async () => {
   const cluster = new SimulatedCluster({ versions: ALL_OLD });
   await cluster.untilOwned();
   for (const index of [0, 1]) {
@@ -51,7 +51,7 @@
   }
   cluster.store.rule((request) => (writesRecord(request, 'live/leader') ? 'refuse' : undefined));
   cluster.kill(leaderIndex(cluster));
-  await cluster.until('nobody leads', () => leaderIndex(cluster) < 0);
+  await cluster.until('there is no leader', () => leaderIndex(cluster) < 0);
   for (const [index, { alive, version }] of cluster.controllers.entries()) {
     if (alive && version === OLD) cluster.kill(index);
   }
@@ -62,13 +62,14 @@
   assert.ok(isFormatGateOpen(cluster));
 });
 
-test('an open gate stays open after all have restarted, and no mark is written again', async () => {
+test('an open format gate stays open after all controllers restart, and no format record is written again', async () => {
   const cluster = new SimulatedCluster();
   await cluster.untilOwned();
   assert.ok(isFormatGateOpen(cluster));
-  const marks = (): unknown[] => CONTROLLERS.map((name) => cluster.store.data.get(`live/format/${name}`));
-  const before = marks();
-  assert.ok(before.every((mark) => (mark as { hold?: number }).hold === undefined));
+  const formatRecords = (): unknown[] =>
+    CONTROLLERS.map((name) => cluster.store.data.get(`live/format/${name}`));
+  const before = formatRecords();
+  assert.ok(before.every((record) => (record as { hold?: number }).hold === undefined));
   for (const index of [0, 1, 2]) cluster.kill(index);
   await cluster.clock.advance(60_000);
   assert.ok(isFormatGateOpen(cluster));
@@ -81,24 +82,24 @@
     await cluster.clock.advance(10_000);
     assert.ok(isFormatGateOpen(cluster));
   }
-  assert.deepEqual(marks(), before);
+  assert.deepEqual(formatRecords(), before);
   cluster.assertInvariants();
 });
 
-for (const fate of [
+for (const fault of [
   'refuse',
   'lose answer',
   { slowMs: 1_200 },
   { slowMs: 4_000 },
   { lateMs: 4_000 },
 ] as const) {
-  test(`a controller leaves its mark though its first requests end with ${JSON.stringify(fate)}`, async () => {
+  test(`a controller writes its format record even if its first store requests meet the fault ${JSON.stringify(fault)}`, async () => {
     const cluster = new SimulatedCluster({ versions: [NEW, NEW, OLD] });
     await cluster.untilOwned();
-    const heal = cluster.store.rule(({ from }) => (from === 'node-2' ? fate : undefined));
+    const removeRule = cluster.store.rule(({ from }) => (from === 'node-2' ? fault : undefined));
     await upgrade(cluster, 2);
     await cluster.clock.advance(8_000);
-    heal();
+    removeRule();
     await cluster.clock.advance(2_500);
     assert.ok(isFormatGateOpen(cluster));
     await cluster.submit('req-1', { pieces: 3 }, 3, 2);
@@ -107,7 +108,7 @@
   });
 }
 
-test('in an outage no mark is there, and the gate opens when it is over', async () => {
+test('during an outage of the key-value store the format gate stays closed, and it opens after the outage', async () => {
   const cluster = new SimulatedCluster({ versions: [NEW, NEW, OLD] });
   await cluster.untilOwned();
   cluster.store.outage(true);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -28,7 +28,7 @@
   [1, 0, 2],
 ]) {
   for (const stepMs of ROLL_STEPS_MS) {
-    test(`rolling restart in the order ${order.join()} every ${stepMs} ms: every task runs once`, async () => {
+    test(`rolling upgrade in the order ${order.join()} every ${stepMs} ms: every task runs once`, async () => {
       const cluster = new SimulatedCluster({ versions: ALL_OLD });
       await runTasks(cluster, 'req-1', 16, 70);
       for (const [step, index] of order.entries()) {
@@ -50,7 +50,7 @@
   [OLD, NEW],
   [NEW, OLD],
 ] as const) {
-  test(`the leader runs ${first}, the owner ${others}: jobs are accepted, done and cancelled`, async () => {
+  test(`the leader runs ${first}, the shard owner ${others}: jobs are accepted, completed and cancelled`, async () => {
     const cluster = await clusterOwnedByFirst([first, others, others]);
     await runTasks(cluster, 'req-1', 16, 60);
     assert.equal(await forceHandover(cluster), 1);
@@ -62,18 +62,21 @@
     await cluster.clock.advance(4_000);
     assert.ok(!cluster.runningTasks.some((task) => task.startsWith('req-3/')));
     for (const index of [0, 1, 2]) assert.equal(await cluster.jobState('req-3', index), 'withdrawn');
-    // A machine that no record names is taken in by the leader, and used by the owner.
+    // The leader adopts a machine without a record, and the owner starts tasks on it.
     cluster.capacity = 0;
-    const stray = cluster.addWorker('b');
+    const machineWithoutRecord = cluster.addWorker('b');
     await cluster.submit('req-4', { pieces: 30, reckonS: 10 }, 10, 2);
-    await cluster.until('the stray machine is used', () => cluster.worker(stray).startCommands.length > 0);
+    await cluster.until(
+      'a task starts on the adopted machine',
+      () => cluster.worker(machineWithoutRecord).startCommands.length > 0,
+    );
     for (const id of ['req-1', 'req-2', 'req-4']) await cluster.untilJobState(id, 'done');
     assertStartedOnce(cluster, 'req-1', 16);
     assert.equal(leaderIndex(cluster), 0);
     cluster.assertInvariants();
   });
 
-  test(`the owner runs ${first}, the others ${others}: in a long outage they vouch for it`, async () => {
+  test(`the owner runs ${first}, its peers ${others}: they extend its lease through a long outage of the store`, async () => {
     const cluster = await clusterOwnedByFirst([first, others, others]);
     await runTasks(cluster, 'req-1', 3, 60);
     cluster.store.outage(true);
@@ -87,7 +90,7 @@
     cluster.assertInvariants();
   });
 
-  test(`the owner runs ${first}, the others ${others}: it hears from them of a cancellation before an outage`, async () => {
+  test(`the owner runs ${first}, its peers ${others}: in an outage it learns from them of an earlier cancellation`, async () => {
     const cluster = await clusterOwnedByFirst([first, others, others]);
     await runTasks(cluster, 'req-1', 3, 200);
     cluster.store.refused.add('node-0');
@@ -101,15 +104,15 @@
   });
 }
 
-test('a shard goes from old to new and back to old: its record stays whole, and no task is lost', async () => {
+test('a shard is handed over between old and new owners: its record keeps all fields, and no task is lost', async () => {
   const cluster = await clusterOwnedByFirst([OLD, NEW, OLD]);
   await runTasks(cluster, 'req-1', 16, 120);
   const record = (): unknown => cluster.store.data.get('live/block/0')?.data;
   const before = record();
   for (const expected of [NEW, OLD, OLD, NEW]) {
-    const heir = await forceHandover(cluster);
-    assert.equal(versionOf(cluster, heir), expected);
-    const name = `node-${heir}`;
+    const newOwner = await forceHandover(cluster);
+    assert.equal(versionOf(cluster, newOwner), expected);
+    const name = `node-${newOwner}`;
     assert.deepEqual(record(), { ...(before as object), owner: name, holder: name });
     assert.equal(cluster.runningTasks.length, 16);
   }
@@ -118,16 +121,16 @@
   cluster.assertInvariants();
 });
 
-test('the last old process, which owns and leads, ends: the new ones go on with its tasks', async () => {
+test('the last old controller, owner and leader, is killed: the new owner keeps its tasks running', async () => {
   const cluster = await clusterOwnedByFirst([OLD, NEW, NEW]);
   await runTasks(cluster, 'req-1', 16, 60);
-  const places = (): string[] => cluster.runningTasks.map((task) => `${task} ${cluster.machineOf(task)}`);
-  const before = places();
+  const placements = (): string[] => cluster.runningTasks.map((task) => `${task} ${cluster.machineOf(task)}`);
+  const before = placements();
   cluster.kill(0);
   await cluster.clock.advance(100);
   assert.equal(versionOf(cluster, await cluster.untilOwned()), NEW);
   await cluster.clock.advance(2_000);
-  assert.deepEqual(places(), before);
+  assert.deepEqual(placements(), before);
   assert.deepEqual(controllersWithFormatRecord(cluster), ['node-1', 'node-2']);
   cluster.restart(0, NEW);
   await cluster.clock.advance(1_000);
@@ -137,7 +140,7 @@
   cluster.assertInvariants();
 });
 
-test('an old process dies and comes back old while the roll goes on', async () => {
+test('an old controller crashes during a rolling upgrade and restarts with the old version: all jobs finish', async () => {
   const cluster = new SimulatedCluster({ versions: ALL_OLD });
   await runTasks(cluster, 'req-1', 16, 90);
   await upgrade(cluster, 0);
@@ -159,7 +162,7 @@
   cluster.assertInvariants();
 });
 
-test('the new version takes over a job whose completions the old one wrote in part, without an answer', async () => {
+test('a new owner takes over a job of which the old owner wrote some completions without getting a response', async () => {
   const cluster = await clusterOwnedByFirst([OLD, NEW, NEW]);
   const completed = new Set<string>();
   cluster.onTaskCompleted = (task) => completed.add(task);
@@ -191,20 +194,20 @@
   cluster.assertInvariants();
 });
 
-for (const fate of ['lose answer', 'refuse', { lateMs: 2_000 }] as const) {
-  test(`the new version takes over when the old one's last write of a job ends with ${JSON.stringify(fate)}`, async () => {
+for (const fault of ['lose answer', 'refuse', { lateMs: 2_000 }] as const) {
+  test(`a new owner takes over a job whose final write by the old owner met the fault ${JSON.stringify(fault)}`, async () => {
     const cluster = await clusterOwnedByFirst([OLD, NEW, NEW]);
-    let struck = 0;
+    let finalWrites = 0;
     cluster.store.rule((request) => {
       if (request.from !== 'node-0' || !writesRecord(request, 'final/')) return undefined;
-      struck += 1;
-      return fate;
+      finalWrites += 1;
+      return fault;
     });
     await runTasks(cluster, 'req-1', 3, 5);
-    await cluster.until('the end of the job is written', () => struck > 0);
+    await cluster.until('the final state is sent', () => finalWrites > 0);
     await cluster.clock.advance(20);
     cluster.kill(0);
-    assert.equal(cluster.store.data.has('final/req-1'), fate === 'lose answer');
+    assert.equal(cluster.store.data.has('final/req-1'), fault === 'lose answer');
     await cluster.clock.advance(100);
     assert.equal(versionOf(cluster, await cluster.untilOwned()), NEW);
     for (const index of [1, 2]) await cluster.untilJobState('req-1', 'done', 60, index);
@@ -214,7 +217,7 @@
   });
 }
 
-test('the new version takes over machines that the old one has rented and that are not up', async () => {
+test('a new owner takes over machines that the old owner rented and that are still booting', async () => {
   const cluster = await clusterOwnedByFirst([OLD, NEW, NEW]);
   cluster.bootMs = 9_000;
   await cluster.submit('req-1', { pieces: 8, reckonS: 20 }, 20);
@@ -229,7 +232,7 @@
   await cluster.clock.advance(100);
   assert.equal(versionOf(cluster, await cluster.untilOwned()), NEW);
   await cluster.until('the tasks run', () => cluster.runningTasks.length === 8, 40);
-  assert.equal(cluster.workers.size, rented, 'nothing was rented again');
+  assert.equal(cluster.workers.size, rented, 'no further machine was rented');
   assert.ok(machines().every(({ up }) => up === true));
   await cluster.untilJobState('req-1', 'done', 120, 1);
   assertStartedOnce(cluster, 'req-1', 8);
@@ -241,7 +244,7 @@
   [NEW, OLD, OLD],
   [OLD, OLD, NEW],
 ] as Version[][]) {
-  test(`all controllers are killed in the middle of the roll and come back as ${versions.join()}`, async () => {
+  test(`all controllers are killed during a rolling upgrade and restart as ${versions.join()}: all jobs finish`, async () => {
     const cluster = new SimulatedCluster({ versions: ALL_OLD });
     await runTasks(cluster, 'req-1', 16, 30);
     await cluster.submit('req-2', { pieces: 20, reckonS: 4 }, 4, 1);
