--- a/test/fixed-limits.test.ts
+++ b/test/fixed-limits.test.ts
@@ -1,4 +1,4 @@
-/** @file Bounds inside a controller that must leave room for 4,000 machines and all that they bring. */
+/** @file Fixed limits inside a controller that have to suffice for 4,000 machines and their messages. */
 import assert from 'node:assert/strict';
 import { Agent, createServer, request } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -25,23 +25,27 @@
 
 const MACHINES = 4_000;
 
-test('returning 4,000 machines at once forgets no cancellation that a lease extension has to name', async () => {
-  const state = new ScriptedWatch();
-  await state.step();
+test('a release of 4,000 machines at once drops no cancellation that a lease extension has to contain', async () => {
+  const watch = new ScriptedWatch();
+  await watch.step();
   const cancelled = { key: 'live/job/req-1', version: 1 };
-  state.events = [
+  watch.events = [
     { ...cancelled, deleted: true },
     ...Array.from({ length: MACHINES }, (_, n) => {
       return { key: `live/machine/host-${n}`, version: n + 2, deleted: true };
     }),
   ];
-  state.revision = MACHINES + 1;
-  await state.step();
-  assert.deepEqual(state.cache.deletedSince('live/job/', 0), [cancelled]);
-  assert.equal(state.cache.deletedSince('live/machine/', 0), undefined, 'each kind is bounded all the same');
+  watch.revision = MACHINES + 1;
+  await watch.step();
+  assert.deepEqual(watch.cache.deletedSince('live/job/', 0), [cancelled]);
+  assert.equal(
+    watch.cache.deletedSince('live/machine/', 0),
+    undefined,
+    'the deletions of each kind are still limited',
+  );
 });
 
-test('deletions of a kind that nothing was deleted of are known from the first revision of the copy on', () => {
+test('for a record kind without deletions, the log is complete from the first revision of the watch cache on', () => {
   const log = new DeletionLog();
   assert.equal(log.since('live/job/', 10), undefined);
   log.startAt(7);
@@ -52,7 +56,7 @@
   assert.deepEqual(log.since('live/job/', 8), [{ key: 'live/job/req-1', version: 9 }]);
 });
 
-test('changes that are too many for one answer are read again as a list', async (t) => {
+test('changes that are too large for one response are read again as a list', async (t) => {
   const server = createServer((_request, response) => response.end(codec.encode({ news: 'x'.repeat(4096) })));
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
@@ -69,13 +73,13 @@
     new HttpKeyValueStore({ http, address, requests: limit(), writes: limit(), timeoutMs: 1000 });
   const store = storeOver(client);
   assert.equal(await store.changes('live/', 1, 0), undefined);
-  assert.equal(store.isUnavailable, false, 'the service is there');
-  const cut: HttpCaller = { call: () => Promise.reject(new NoResponseError('cut off', true)) };
-  await assert.rejects(storeOver(cut).changes('live/', 1, 0), NoResponseError);
+  assert.equal(store.isUnavailable, false, 'the key-value store is available');
+  const partitioned: HttpCaller = { call: () => Promise.reject(new NoResponseError('partitioned', true)) };
+  await assert.rejects(storeOver(partitioned).changes('live/', 1, 0), NoResponseError);
 });
 
-test('progress of any number of jobs reaches the peers, in messages that fit a frame', () => {
-  const state = {
+test('the progress of any number of jobs is sent to peers in heartbeats that each fit into a frame', () => {
+  const heartbeat = {
     from: 'node-0',
     isViewFresh: true,
     unreachableShards: [1],
@@ -84,20 +88,20 @@
   const jobs = Array.from({ length: 2 * JOBS_PER_MESSAGE + 1 }, (_, n) => {
     return { id: `req-${String(n).padStart(6, '0')}`, running: 100_000, done: 100_000 };
   });
-  const frames = heartbeatMessages(state, jobs).map(writePeerMessage);
+  const frames = heartbeatMessages(heartbeat, jobs).map(writePeerMessage);
   assert.equal(frames.length, 3);
   const read = frames.flatMap((frame) => {
     assert.ok(frame.length < MAX_FRAME_BYTES);
     const message = readPeerMessage(frame);
     assert.ok(message?.kind === 'heartbeat');
-    assert.deepEqual({ ...message.heartbeat, jobs: [] }, { ...state, jobs: [] });
+    assert.deepEqual({ ...message.heartbeat, jobs: [] }, { ...heartbeat, jobs: [] });
     return message.heartbeat.jobs;
   });
   assert.deepEqual(read, jobs);
-  assert.equal(heartbeatMessages(state, []).length, 1, 'a sign of life');
+  assert.equal(heartbeatMessages(heartbeat, []).length, 1, 'a heartbeat is sent without jobs');
 });
 
-test("reading the list of a large fleet leaves most of the cloud's calls to rentals and releases", async () => {
+test('listing a large fleet leaves most of the cloud request limit to rentals and releases', async () => {
   const clock = new FakeClock();
   let lists = 0;
   const listed = Array.from({ length: MACHINES }, (_, n) => ({
@@ -111,19 +115,19 @@
       return Promise.resolve(listed);
     },
   } as unknown as Cloud;
-  const view = new CloudInventory(cloud, clock);
+  const inventory = new CloudInventory(cloud, clock);
   const { signal } = new AbortController();
-  const run = async (): Promise<void> => {
-    for (;;) await view.step(signal, () => true);
+  const runInventory = async (): Promise<void> => {
+    for (;;) await inventory.step(signal, () => true);
   };
-  void run();
+  void runInventory();
   await clock.advance(60_000);
   const pages = lists * (MACHINES / 500);
-  assert.ok(lists >= 3, 'it is read all the same');
+  assert.ok(lists >= 3, 'the list is still read');
   assert.ok(pages <= 40, `${pages} calls in a minute`);
 });
 
-test('more workers than their share has connections for are all answered, in turns', async (t) => {
+test('more workers than there are connections for workers are all served, one after the other', async (t) => {
   const route = (url: string, use: Route['use']): Route => {
     return { method: 'GET', url, use, handle: () => ({ status: 200, body: {} }) };
   };
@@ -143,7 +147,7 @@
     for (const agent of agents) agent.destroy();
     await server.close();
   });
-  const report = (agent: Agent): Promise<number | undefined> =>
+  const sendHeartbeat = (agent: Agent): Promise<number | undefined> =>
     new Promise((resolve, reject) => {
       const req = request({ agent, host: '127.0.0.1', port, path: '/hello' }, (response) => {
         response.resume().once('end', () => {
@@ -154,7 +158,7 @@
     });
   for (let round = 0; round < 3; round += 1) {
     for (const agent of agents) {
-      assert.equal(await report(agent), 200);
+      assert.equal(await sendHeartbeat(agent), 200);
       assert.ok(connections.workers <= share, `${connections.workers} connections`);
     }
   }
--- a/test/record-sweep.test.ts
+++ b/test/record-sweep.test.ts
@@ -9,43 +9,43 @@
 const MANY = 1_500;
 const ids = Array.from({ length: MANY }, (_, number) => `req-${number + 1_000_000_000}`);
 
-test('parts of a list of dependencies are orphans only after their submission can no longer be repeated', async () => {
-  const service = new StoreFixture();
-  await service.load();
+test('dependency parts become orphans only after their submission can no longer be repeated', async () => {
+  const fixture = new StoreFixture();
+  await fixture.load();
   const value = { dependencies: ['req-2'] };
-  const written = service.store.compareAndSwap([], [{ put: 'live/dependencies/req-1/0', value }]);
-  await service.clock.advance(2_000);
+  const written = fixture.store.compareAndSwap([], [{ put: 'live/dependencies/req-1/0', value }]);
+  await fixture.clock.advance(2_000);
   await written;
-  const sweep = new RecordGarbageCollector({
-    cache: service.cache,
-    clock: service.clock,
-    store: service.store,
+  const garbageCollector = new RecordGarbageCollector({
+    cache: fixture.cache,
+    clock: fixture.clock,
+    store: fixture.store,
     settings: makeSettings(platformSettings(), {}),
   });
-  assert.deepEqual(sweep.orphans(), []);
-  await service.clock.advance(119_000);
-  assert.deepEqual(sweep.orphans(), []);
-  await service.clock.advance(2_000);
-  const [orphan] = sweep.orphans();
+  assert.deepEqual(garbageCollector.orphans(), []);
+  await fixture.clock.advance(119_000);
+  assert.deepEqual(garbageCollector.orphans(), []);
+  await fixture.clock.advance(2_000);
+  const [orphan] = garbageCollector.orphans();
   assert.equal(orphan?.key, 'live/dependencies/req-1/0');
   assert.equal(orphan.job, 'live/job/req-1');
 });
 
-test('what a job with very many dependencies leaves behind is deleted after its end', async () => {
+test('the dependency parts of a job with very many dependencies are deleted after its end', async () => {
   const cluster = new SimulatedCluster();
   await cluster.untilOwned();
   await cluster.submit('req-1', {}, 300);
-  // Live jobs that nobody starts: the list is long because none of them is done.
+  // These jobs wait for req-1 and are not done, so that the dependency list of req-2 is long.
   for (let from = 0; from < MANY; from += 50) {
     const batch = ids.slice(from, from + 50);
-    const answers = batch.map((id) =>
+    const responses = batch.map((id) =>
       cluster.network
         .caller('user')
         .call('10.0.0.1:8080', 'POST', '/work', submission(id, { awaits: ['req-1'] }), 5_000)
         .catch(() => undefined),
     );
     await cluster.clock.advance(1_500);
-    await Promise.all(answers);
+    await Promise.all(responses);
   }
   for (const id of ids)
     if (!cluster.invariants.acceptedJobs.includes(id)) await cluster.submit(id, { awaits: ['req-1'] });
--- a/test/state-limits-fall.test.ts
+++ b/test/state-limits-fall.test.ts
@@ -22,11 +22,12 @@
 } from './limited-store-steps';
 import { SimulatedCluster } from './fakes/simulated-cluster';
 
+/** Completions of a job this large are filled in without running its tasks. */
 const TASKS = 100_000;
 
 const JOB = { id: 'req-1', tasks: TASKS, team: 'blue', deadlineS: null } as Job;
 
-/** An owner of the shard, reduced to its tables and its recorder. */
+/** A shard owner reduced to its dispatch tables and its completion recorder. */
 class Owner {
   readonly cache: WatchCache;
   readonly recorder: CompletionRecorder;
@@ -36,23 +37,23 @@
   readonly #stop = new AbortController();
 
   private constructor(
-    readonly service: StoreFixture,
+    readonly fixture: StoreFixture,
     cache: WatchCache,
     isOpenForFormat2: boolean,
-    next: unknown,
+    nextLimits: unknown,
   ) {
     this.cache = cache;
     const context = {
       controllerId: 'node-0',
-      settings: makeSettings(platformSettings(next), {}),
-      clock: service.clock,
+      settings: makeSettings(platformSettings(nextLimits), {}),
+      clock: fixture.clock,
       log: quiet,
-      store: service.store,
+      store: fixture.store,
       cache,
       formatGate: { isOpenForFormat2 },
       session: { isValid: true },
       jobs: {
-        rememberFinal: () => undefined,
+        cacheFinalState: () => undefined,
         finalRecord: (state: string, done: number) => ({ state, done }),
       },
       types: () => [],
@@ -64,7 +65,7 @@
       () => undefined,
     );
     const condition: Condition = { key: 'live/lease/0', version: 0 };
-    const recorded = {
+    const recorderShard = {
       tables: this.shard.tables,
       entitled: true,
       leaseCondition: () => condition,
@@ -74,18 +75,21 @@
       },
       onCompletionsRecorded: () => undefined,
     };
-    this.#completions = new WakeSignal(service.clock);
-    this.recorder = new CompletionRecorder(recorded, context, this.#completions);
+    this.#completions = new WakeSignal(fixture.clock);
+    this.recorder = new CompletionRecorder(recorderShard, context, this.#completions);
     const { signal } = this.#stop;
-    void runLoop('records', () => this.recorder.step(signal), { clock: service.clock, log: quiet, signal });
+    void runLoop('records', () => this.recorder.step(signal), { clock: fixture.clock, log: quiet, signal });
   }
 
-  /** Takes the shard as a new owner does: from a copy of the records that was read anew. */
-  static async take(service: StoreFixture, options: { isOpen: boolean; next?: unknown }): Promise<Owner> {
-    const cache = service.newCache();
-    await service.clock.advance(500);
+  /** Acquires the shard as a new owner does, with a newly loaded watch cache. */
+  static async acquire(
+    fixture: StoreFixture,
+    options: { isGateOpen: boolean; nextLimits?: unknown },
+  ): Promise<Owner> {
+    const cache = fixture.newCache();
+    await fixture.clock.advance(500);
     assert.ok(cache.isLoaded);
-    return new Owner(service, cache, options.isOpen, options.next);
+    return new Owner(fixture, cache, options.isGateOpen, options.nextLimits);
   }
 
   get table(): NonNullable<ReturnType<Shard['tables']['get']>> {
@@ -101,13 +105,13 @@
 
   async untilRecorded(limitS = 60): Promise<void> {
     for (let second = 0; second < limitS && this.table.unrecorded.size > 0; second += 1)
-      await this.service.clock.advance(1000);
-    assert.equal(this.table.unrecorded.size, 0, 'not all is recorded');
+      await this.fixture.clock.advance(1000);
+    assert.equal(this.table.unrecorded.size, 0, 'some completions are not recorded');
   }
 
   async untilClosed(limitS = 60): Promise<void> {
     for (let second = 0; second < limitS && this.closed.length === 0; second += 1)
-      await this.service.clock.advance(1000);
+      await this.fixture.clock.advance(1000);
     assert.deepEqual(this.closed, ['req-1']);
   }
 
@@ -116,147 +120,148 @@
   }
 }
 
-async function serviceWithJob(): Promise<StoreFixture> {
-  const service = new StoreFixture();
-  await service.load();
+async function fixtureWithJob(): Promise<StoreFixture> {
+  const fixture = new StoreFixture();
+  await fixture.load();
   const record = { put: 'live/job/req-1', value: { job: JOB, submittedAt: 0 } };
-  await service.runUntilDone(service.store.compareAndSwap([], [record]));
-  return service;
+  await fixture.runUntilDone(fixture.store.compareAndSwap([], [record]));
+  return fixture;
 }
 
-/** A leader that does nothing but delete what jobs that are over left behind. */
-function sweeper(service: StoreFixture, cache: WatchCache): Leader {
+/** A leader whose only work is to delete records that ended jobs left behind. */
+function newGarbageCollectingLeader(fixture: StoreFixture, cache: WatchCache): Leader {
   const context = {
     controllerId: 'node-0',
     settings: makeSettings(platformSettings(LOWERED_LIMITS), {}),
     log: quiet,
-    store: service.store,
+    store: fixture.store,
     cache,
-    clock: service.clock,
+    clock: fixture.clock,
     session: { isValid: true, lease: 1 },
   } as unknown as ControllerContext;
-  const noMachines = {
+  const emptyInventory = {
     machines: () => [],
     wasRecordDeletedRecently: () => false,
   } as unknown as CloudInventory;
-  return new Leader(context, noMachines, () => false);
+  return new Leader(context, emptyInventory, () => false);
 }
 
-test('a job of 100,000 tasks outlives the fall of the limits and takeovers, with its old chunks', async () => {
-  const service = await serviceWithJob();
-  service.fakeStore.limits = CURRENT_ENFORCED_LIMITS;
-  // Before all controllers understand parts, chunks are written; 11 KB of text each.
-  const before = await Owner.take(service, { isOpen: false, next: LOWERED_LIMITS });
-  before.complete(0, 70_000, 2);
-  await before.untilRecorded();
-  assert.deepEqual(service.keys('live/done/'), ['live/done/req-1/0', 'live/done/req-1/1']);
-  assert.deepEqual(service.keys('live/bits/'), []);
-  assert.ok(service.fakeStore.largestValue > 10_000);
-  before.stop();
+test('a job of 100,000 tasks keeps its completions, also those in chunks, through lowered limits and failovers', async () => {
+  const fixture = await fixtureWithJob();
+  fixture.fakeStore.limits = CURRENT_ENFORCED_LIMITS;
+  // Until all controllers understand parts, chunks of 11 KB of text each are written.
+  const firstOwner = await Owner.acquire(fixture, { isGateOpen: false, nextLimits: LOWERED_LIMITS });
+  firstOwner.complete(0, 70_000, 2);
+  await firstOwner.untilRecorded();
+  assert.deepEqual(fixture.keys('live/done/'), ['live/done/req-1/0', 'live/done/req-1/1']);
+  assert.deepEqual(fixture.keys('live/bits/'), []);
+  assert.ok(fixture.fakeStore.largestValue > 10_000);
+  firstOwner.stop();
   // The next owner writes parts only.
-  const chunks = service.keys('live/done/').map((key) => service.fakeStore.data.get(key)?.stamp);
-  service.fakeStore.largestValue = 0;
-  service.fakeStore.largestTransaction = 0;
-  const after = await Owner.take(service, { isOpen: true, next: LOWERED_LIMITS });
-  assert.equal(after.table.done, 35_000, 'old chunks count');
-  after.complete(1, 30_000, 2);
-  await after.untilRecorded();
-  // The limits fall, while completions go on.
-  service.fakeStore.limits = LOWERED_ENFORCED_LIMITS;
-  after.complete(30_001, 70_000, 2);
-  await after.untilRecorded();
-  assert.ok(service.keys('live/bits/').length >= 5);
+  const chunks = fixture.keys('live/done/').map((key) => fixture.fakeStore.data.get(key)?.stamp);
+  fixture.fakeStore.largestValue = 0;
+  fixture.fakeStore.largestTransaction = 0;
+  const secondOwner = await Owner.acquire(fixture, { isGateOpen: true, nextLimits: LOWERED_LIMITS });
+  assert.equal(secondOwner.table.done, 35_000, 'completions in the old chunks count');
+  secondOwner.complete(1, 30_000, 2);
+  await secondOwner.untilRecorded();
+  // The limits are lowered while tasks complete.
+  fixture.fakeStore.limits = LOWERED_ENFORCED_LIMITS;
+  secondOwner.complete(30_001, 70_000, 2);
+  await secondOwner.untilRecorded();
+  assert.ok(fixture.keys('live/bits/').length >= 5);
   assert.deepEqual(
-    service.keys('live/done/').map((key) => service.fakeStore.data.get(key)?.stamp),
+    fixture.keys('live/done/').map((key) => fixture.fakeStore.data.get(key)?.stamp),
     chunks,
-    'old chunks stay as they are',
+    'the old chunks are not rewritten',
   );
-  after.complete(70_000, 80_000);
-  await service.clock.advance(40);
-  // Another takes over in the middle of it. What was not recorded is told again by the workers.
-  after.stop();
-  await service.clock.advance(5_000);
-  const last = await Owner.take(service, { isOpen: true, next: LOWERED_LIMITS });
-  assert.ok(last.table.done >= 70_000);
-  for (let task = 0; task < 70_000; task += 1) assert.ok(last.table.isDone(task), `task ${task} was lost`);
-  last.complete(70_000, TASKS - 1);
-  await last.untilRecorded();
-  assert.equal(service.fakeStore.data.has('final/req-1'), false, 'one task is still to be done');
-  assert.ok(service.keys('live/').length > 10, 'more records than one transaction may delete');
-  last.complete(TASKS - 1, TASKS);
-  await last.untilClosed();
-  assert.deepEqual(service.fakeStore.data.get('final/req-1')?.data, { state: 'done', done: TASKS });
-  assert.equal(service.fakeStore.data.has('live/job/req-1'), false);
-  // The leader deletes what the last transaction had no room for.
-  assert.ok([...service.keys('live/done/'), ...service.keys('live/bits/')].length > 0);
-  const leads = { put: 'live/leader', value: { node: 'node-0' } };
-  await service.runUntilDone(service.store.compareAndSwap([], [leads]));
-  const leader = sweeper(service, service.cache);
+  secondOwner.complete(70_000, 80_000);
+  await fixture.clock.advance(40);
+  // Another owner takes over before all is recorded. Workers report unrecorded completions again.
+  secondOwner.stop();
+  await fixture.clock.advance(5_000);
+  const lastOwner = await Owner.acquire(fixture, { isGateOpen: true, nextLimits: LOWERED_LIMITS });
+  assert.ok(lastOwner.table.done >= 70_000);
+  for (let task = 0; task < 70_000; task += 1)
+    assert.ok(lastOwner.table.isDone(task), `task ${task} was lost`);
+  lastOwner.complete(70_000, TASKS - 1);
+  await lastOwner.untilRecorded();
+  assert.equal(fixture.fakeStore.data.has('final/req-1'), false, 'one task is not done yet');
+  assert.ok(fixture.keys('live/').length > 10, 'more records than one transaction may delete');
+  lastOwner.complete(TASKS - 1, TASKS);
+  await lastOwner.untilClosed();
+  assert.deepEqual(fixture.fakeStore.data.get('final/req-1')?.data, { state: 'done', done: TASKS });
+  assert.equal(fixture.fakeStore.data.has('live/job/req-1'), false);
+  // The leader deletes the records that the final transaction could not delete within the limit.
+  assert.ok([...fixture.keys('live/done/'), ...fixture.keys('live/bits/')].length > 0);
+  const leaderRecord = { put: 'live/leader', value: { node: 'node-0' } };
+  await fixture.runUntilDone(fixture.store.compareAndSwap([], [leaderRecord]));
+  const leader = newGarbageCollectingLeader(fixture, fixture.cache);
   for (let step = 0; step < 5; step += 1) {
-    await service.runUntilDone(leader.step());
+    await fixture.runUntilDone(leader.step());
   }
-  assert.deepEqual([...service.keys('live/done/'), ...service.keys('live/bits/')], []);
-  assert.deepEqual(service.fakeStore.oversizedTransactions, []);
-  assert.ok(service.fakeStore.largestValue <= 2048, `${service.fakeStore.largestValue} bytes`);
-  assert.ok(service.fakeStore.largestTransaction <= 10, `${service.fakeStore.largestTransaction} changes`);
+  assert.deepEqual([...fixture.keys('live/done/'), ...fixture.keys('live/bits/')], []);
+  assert.deepEqual(fixture.fakeStore.oversizedTransactions, []);
+  assert.ok(fixture.fakeStore.largestValue <= 2048, `${fixture.fakeStore.largestValue} bytes`);
+  assert.ok(fixture.fakeStore.largestTransaction <= 10, `${fixture.fakeStore.largestTransaction} changes`);
 });
 
-test('parts that were written under a higher limit keep counting when shorter ones lie beside them', async () => {
-  const service = await serviceWithJob();
-  const higher = await Owner.take(service, { isOpen: true, next: { value_kb: 8 } });
-  higher.complete(10_000, 60_000);
-  await higher.untilRecorded();
-  higher.stop();
-  const lower = await Owner.take(service, { isOpen: true, next: LOWERED_LIMITS });
-  assert.equal(lower.table.done, 50_000);
-  lower.complete(0, 10);
-  await lower.untilRecorded();
-  lower.stop();
-  const last = await Owner.take(service, { isOpen: true, next: LOWERED_LIMITS });
-  assert.equal(last.table.done, 50_010);
-  for (let task = 10_000; task < 60_000; task += 1) assert.ok(last.table.isDone(task));
+test('parts written under a higher limit still count beside shorter parts', async () => {
+  const fixture = await fixtureWithJob();
+  const ownerBefore = await Owner.acquire(fixture, { isGateOpen: true, nextLimits: { value_kb: 8 } });
+  ownerBefore.complete(10_000, 60_000);
+  await ownerBefore.untilRecorded();
+  ownerBefore.stop();
+  const ownerAfter = await Owner.acquire(fixture, { isGateOpen: true, nextLimits: LOWERED_LIMITS });
+  assert.equal(ownerAfter.table.done, 50_000);
+  ownerAfter.complete(0, 10);
+  await ownerAfter.untilRecorded();
+  ownerAfter.stop();
+  const lastOwner = await Owner.acquire(fixture, { isGateOpen: true, nextLimits: LOWERED_LIMITS });
+  assert.equal(lastOwner.table.done, 50_010);
+  for (let task = 10_000; task < 60_000; task += 1) assert.ok(lastOwner.table.isDone(task));
 });
 
-test('a part written without an answer is found again, and nothing in it is lost', async () => {
-  const service = await serviceWithJob();
-  service.fakeStore.limits = LOWERED_ENFORCED_LIMITS;
-  const owner = await Owner.take(service, { isOpen: true, next: LOWERED_LIMITS });
-  let lost = 0;
-  service.fakeStore.rule(({ path, body }) => {
-    if (path !== '/txn' || lost > 0) return undefined;
+test('a part whose write got no response is read again, and none of its completions is lost', async () => {
+  const fixture = await fixtureWithJob();
+  fixture.fakeStore.limits = LOWERED_ENFORCED_LIMITS;
+  const owner = await Owner.acquire(fixture, { isGateOpen: true, nextLimits: LOWERED_LIMITS });
+  let lostResponses = 0;
+  fixture.fakeStore.rule(({ path, body }) => {
+    if (path !== '/txn' || lostResponses > 0) return undefined;
     const { apply = [] } = body as { apply?: { set?: string }[] };
     if (apply[0]?.set?.startsWith('live/bits/') !== true) return undefined;
-    lost += 1;
+    lostResponses += 1;
     return 'lose answer';
   });
   owner.complete(0, 500);
-  await service.clock.advance(500);
+  await fixture.clock.advance(500);
   owner.complete(500, 900);
   await owner.untilRecorded();
-  assert.equal(lost, 1);
+  assert.equal(lostResponses, 1);
   owner.stop();
-  const next = await Owner.take(service, { isOpen: true, next: LOWERED_LIMITS });
-  assert.equal(next.table.done, 900);
+  const nextOwner = await Owner.acquire(fixture, { isGateOpen: true, nextLimits: LOWERED_LIMITS });
+  assert.equal(nextOwner.table.done, 900);
 });
 
-// A whole deployment.
+// In a whole deployment.
 
-test('the limits fall under full load with a takeover under way: nothing is lost, nothing too large is sent', async () => {
-  const next = { value_kb: 2, txn_ops: 10, write_rps: 28 };
-  const cluster = new SimulatedCluster({ nextLimits: next });
+test('limits are lowered under full load during a failover: no job is lost, and nothing too large is sent', async () => {
+  const announcedLimits = { value_kb: 2, txn_ops: 10, write_rps: 28 };
+  const cluster = new SimulatedCluster({ nextLimits: announcedLimits });
   cluster.capacity = 12;
   cluster.store.limits = CURRENT_ENFORCED_LIMITS;
   await cluster.untilOwned();
-  const marks = (): number =>
+  const formatRecordCount = (): number =>
     [...cluster.store.data.keys()].filter((k) => k.startsWith('live/format/')).length;
-  await cluster.until('all controllers have left their marks', () => marks() === 3);
+  await cluster.until('all controllers have written their format records', () => formatRecordCount() === 3);
   cluster.store.largestValue = 0;
   cluster.store.largestTransaction = 0;
   await cluster.submit('req-1', { pieces: TASKS, cpus: 0.05, memGb: 0.01 }, 2);
   for (let n = 2; n < 20; n += 1) await cluster.submit(`req-${n}`, { pieces: 1 + (n % 7) }, 3, n % 3);
   await cluster.until('tasks run', () => cluster.runningTasks.length > 5);
   cluster.store.limits = { valueKb: 2, txnOps: 10, writeRps: 28 };
-  // At this moment more submissions come at once than the rate of changes allows.
+  // At this moment, more submissions arrive at once than the write rate allows.
   const burst = Array.from({ length: 60 }, (_, n) => `req-${100 + n}`);
   for (const [n, id] of burst.entries()) {
     const address = cluster.controllers[n % 3]?.address ?? '';
