--- a/test/build-flags.test.ts
+++ b/test/build-flags.test.ts
@@ -2,10 +2,10 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 
-test('the code that the build keeps is for the flags that the program is run with: for others it would be refused', () => {
+test('the code cache is built with the flags of the program: V8 rejects a cache of other flags', () => {
   const flags = /node ((?:--\S+ )+)target\/main\.js/;
-  const run = flags.exec(readFileSync('deploy/service.toml', 'utf8'))?.[1];
-  const build = flags.exec(readFileSync('package.json', 'utf8'))?.[1];
-  assert.ok(run);
-  assert.equal(build, run);
+  const programFlags = flags.exec(readFileSync('deploy/service.toml', 'utf8'))?.[1];
+  const buildFlags = flags.exec(readFileSync('package.json', 'utf8'))?.[1];
+  assert.ok(programFlags);
+  assert.equal(buildFlags, programFlags);
 });
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -19,9 +19,9 @@
   },
 });
 
-test('settings: new fields are ignored, bad ones are named with their file, and the shard lease keeps the bound', () => {
+test('unknown platform fields are ignored, errors name file and field, and the shard lease leaves time for cancellations', () => {
   assert.equal(makeSettings(platform(), {}).shardLeaseMs, 5000);
-  const broken = (
+  const errorMessage = (
     change: (p: Record<string, Record<string, unknown>>) => void,
     options: unknown = {},
   ): string => {
@@ -38,25 +38,25 @@
   };
   const none = (): void => undefined;
   assert.match(
-    broken((p) => delete p.bind),
+    errorMessage((p) => delete p.bind),
     /^p\.toml: bind: /,
   );
   assert.match(
-    broken((p) => ((p.deployment ?? {}).teams = [])),
+    errorMessage((p) => ((p.deployment ?? {}).teams = [])),
     /^p\.toml: deployment\.teams: /,
   );
-  const tight = { report_s: 1, lease_s: 10, cancel_s: 12 };
+  const tooShortCancellation = { report_s: 1, lease_s: 10, cancel_s: 12 };
   assert.match(
-    broken((p) => ((p.deployment ?? {}).workers = tight)),
+    errorMessage((p) => ((p.deployment ?? {}).workers = tooShortCancellation)),
     /cancel_s: leaves no time/,
   );
-  assert.match(broken(none, { blokcs: 2 }), /^o\.toml: .*blokcs/);
-  assert.match(broken(none, { block_lease_s: 22 }), /^o\.toml: block_lease_s: /);
-  assert.equal(broken(none, { block_lease_s: 21 }), 'no error');
-  const little = platform() as Record<string, Record<string, unknown>>;
-  (little.deployment ?? {}).quota = { mem_mb: 90 };
+  assert.match(errorMessage(none, { blokcs: 2 }), /^o\.toml: .*blokcs/);
+  assert.match(errorMessage(none, { block_lease_s: 22 }), /^o\.toml: block_lease_s: /);
+  assert.equal(errorMessage(none, { block_lease_s: 21 }), 'no error');
+  const lowMemory = platform() as Record<string, Record<string, unknown>>;
+  (lowMemory.deployment ?? {}).quota = { mem_mb: 90 };
   assert.match(
-    makeSettings(little, {}, ['p.toml']).warnings.join(),
+    makeSettings(lowMemory, {}, ['p.toml']).warnings.join(),
     /^p\.toml: deployment\.quota\.mem_mb: 90 MB/,
   );
   assert.deepEqual(makeSettings(platform(), {}).warnings, []);
--- a/test/transport.test.ts
+++ b/test/transport.test.ts
@@ -9,7 +9,7 @@
 import { createServer as createUserServer } from '../src/transport/http-server';
 import { readFrames, writeFrame } from '../src/transport/peer-link';
 
-test('the server refuses what is too large or unknown, and goes on', async () => {
+test('the server rejects requests that are too large or have an unknown path, and serves the next one', async () => {
   const sizes: number[] = [];
   const route = {
     method: 'POST' as const,
@@ -39,33 +39,33 @@
   }
 });
 
-test('an answer that is too large, undecodable or late is none, and may have been executed; a refused call was not', async () => {
-  const answers: Record<string, Buffer> = { '/large': Buffer.alloc(5000), '/garbage': Buffer.from([0xc1]) };
+test('after a response that is too large, undecodable or late the request may have been executed; after a refused connection it was not', async () => {
+  const responses: Record<string, Buffer> = { '/large': Buffer.alloc(5000), '/garbage': Buffer.from([0xc1]) };
   const server = createServer((request, response) => {
-    const answer = answers[request.url ?? ''];
-    if (answer) response.end(answer);
+    const responseBody = responses[request.url ?? ''];
+    if (responseBody) response.end(responseBody);
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
   const client = new HttpClient(codec, { perHost: 4, idle: () => 4 }, 1024);
-  const executed = async (path: string, to = port): Promise<boolean> => {
+  const mayHaveExecuted = async (path: string, to = port): Promise<boolean> => {
     try {
       await client.call(`127.0.0.1:${to}`, 'GET', path, undefined, 200);
     } catch (error) {
       assert.ok(error instanceof NoResponseError);
       return error.mayHaveExecuted;
     }
-    assert.fail(`${path} was answered`);
+    assert.fail(`${path} got a response`);
   };
-  for (const path of ['/large', '/garbage', '/silent']) assert.equal(await executed(path), true, path);
+  for (const path of ['/large', '/garbage', '/silent']) assert.equal(await mayHaveExecuted(path), true, path);
   client.close();
   server.closeAllConnections();
   await new Promise((resolve) => server.close(resolve));
-  assert.equal(await executed('/closed'), false);
+  assert.equal(await mayHaveExecuted('/closed'), false);
   client.close();
 });
 
-test('frames come out whole however they are cut, and a length that no frame has ends the link', async () => {
+test('frames are read whole however their bytes are split, and an invalid frame length ends the stream with an error', async () => {
   const messages: PeerMessage[] = [
     {
       kind: 'change notification',
@@ -89,33 +89,33 @@
     },
   ];
   const bytes = Buffer.concat(messages.map((m) => writeFrame(writePeerMessage(m))));
-  for (const step of [1, 3, 1000]) {
-    const tasks = Array.from({ length: Math.ceil(bytes.length / step) }, (_, n) =>
-      bytes.subarray(n * step, (n + 1) * step),
+  for (const chunkBytes of [1, 3, 1000]) {
+    const chunks = Array.from({ length: Math.ceil(bytes.length / chunkBytes) }, (_, n) =>
+      bytes.subarray(n * chunkBytes, (n + 1) * chunkBytes),
     );
     const read: unknown[] = [];
-    for await (const one of readFrames(
+    for await (const frame of readFrames(
       (async function* () {
-        yield* tasks;
+        yield* chunks;
       })(),
       1000,
     ))
-      read.push(readPeerMessage(one));
+      read.push(readPeerMessage(frame));
     assert.deepEqual(read, messages);
   }
-  const bad = Buffer.from([0xff, 0xff, 0xff, 0xff]);
+  const invalidLength = Buffer.from([0xff, 0xff, 0xff, 0xff]);
   await assert.rejects(async () => {
-    for await (const one of readFrames(
+    for await (const frame of readFrames(
       (async function* () {
-        yield bad;
+        yield invalidLength;
       })(),
       1000,
     ))
-      assert.fail(one.toString());
+      assert.fail(frame.toString());
   });
 });
 
-test('an answer that came in time is read, however late the process comes to look', async (t) => {
+test('a response that arrived in time is read even if the process stalls past the timeout', async (t) => {
   const server = createServer((request, response) => {
     request.resume();
     if (request.url === '/never') return;
@@ -129,10 +129,10 @@
     server.closeAllConnections();
     server.close();
   });
-  const ask = (path: string): Promise<{ status: number }> =>
+  const send = (path: string): Promise<{ status: number }> =>
     client.call(`127.0.0.1:${port}`, 'GET', path, undefined, 100);
-  // The server shares this process, so the answer has to be on its way before the process stands still.
-  const asked = ask('/');
+  // The server shares this process, so it has to send the response before the process stalls.
+  const pending = send('/');
   await new Promise<void>((resolve) => {
     server.once('request', () => {
       resolve();
@@ -141,6 +141,6 @@
   await new Promise((resolve) => process.nextTick(resolve));
   const until = performance.now() + 300;
   while (performance.now() < until);
-  assert.equal((await asked).status, 200);
-  await assert.rejects(ask('/never'), NoResponseError);
+  assert.equal((await pending).status, 200);
+  await assert.rejects(send('/never'), NoResponseError);
 });
