--- a/test/fakes/key-value-store.ts
+++ b/test/fakes/key-value-store.ts
@@ -1,15 +1,15 @@
-/** @file The key-value store by its published protocol, in memory, with faults and limits. */
+/** @file A fake key-value store in memory that speaks its published protocol, with faults and limits. */
 import type { HttpResponse } from '../../src/transport/http-client';
 import type { TimerClock } from './clock';
 import type { Request } from './network';
 
-interface Stored {
+interface StoredEntry {
   data: unknown;
   stamp: number;
   hold?: number;
 }
 
-interface News {
+interface ChangeRecord {
   stamp: number;
   set?: string;
   delete?: string;
@@ -21,20 +21,20 @@
   apply: { set?: string; delete?: string; data?: unknown; hold?: number }[];
 }
 
-/** Limits that the service enforces; sizes are counted as JSON text. */
+/** Limits that the store enforces; sizes are those of the JSON text. */
 export interface EnforcedLimits {
   valueKb: number;
   txnOps: number;
   writeRps: number;
 }
 
-/** The protocol's own limits: bytes of a transaction, and conditions for each change allowed. */
+/** Fixed limits of the protocol: bytes of a transaction, and its conditions per allowed change. */
 const MAX_TXN_BYTES = 64 * 1024;
 const GUARDS_PER_CHANGE = 4;
 
 /**
- * What becomes of a request besides being answered: it gets no answer and is carried out that much later, after newer
- * ones; only its answer is lost; its answer comes that much later; it is refused.
+ * A fault of a request. `lateMs`: it gets no response and is executed only after this time, after newer requests.
+ * `slowMs`: its response is delayed. 'lose answer': it is executed, but its response is lost. 'refuse': it gets 503.
  */
 export type StoreFault = { lateMs: number } | 'lose answer' | { slowMs: number } | 'refuse';
 
@@ -42,33 +42,33 @@
 
 const noAnswer = (): Promise<HttpResponse> => new Promise(() => undefined);
 
-/** The state service by its published protocol, in memory. */
+/** A key-value store in memory with revisions, leases (`grants`), transactions, watches and injected faults. */
 export class FakeKeyValueStore {
-  readonly data = new Map<string, Stored>();
+  readonly data = new Map<string, StoredEntry>();
   readonly #grants = new Map<number, { ttlMs: number; endsAt: number }>();
-  readonly #news: News[] = [];
+  readonly #changeLog: ChangeRecord[] = [];
   #watchers: (() => void)[] = [];
   #nextGrant = 1;
   revision = 0;
-  /** Senders that get 503; `*` for all. */
+  /** Senders whose requests get 503; `*` stands for all senders. */
   readonly refused = new Set<string>();
   #rules: ((request: Request) => StoreFault | undefined)[] = [];
   /** Bytes of the largest value ever written, as JSON. */
   largestValue = 0;
   /** Changes of the largest transaction. */
   largestTransaction = 0;
-  /** Enforced from the moment that they are set; none before. */
+  /** Enforced from the moment that a test sets them; no limits until then. */
   limits: EnforcedLimits | undefined;
-  /** Why transactions were refused for their size, and who sent them. */
+  /** Sender and reason of each transaction that was rejected for its size. */
   readonly oversizedTransactions: string[] = [];
-  /** How many transactions were refused for the rate of changes. */
+  /** Number of transactions that the limit on the rate of changes rejected. */
   rejectedByRateLimit = 0;
-  #changesLeft = 0;
-  #changesFilledAt = -Infinity;
+  #writeTokens = 0;
+  #tokensRefilledAt = -Infinity;
 
   constructor(private readonly clock: TimerClock) {}
 
-  /** An outage for everybody; afterwards every grant has its full time again. */
+  /** Starts or ends an outage for all senders. When it ends, every lease has its full duration again. */
   outage(on: boolean): void {
     if (on) this.refused.add('*');
     else {
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Adds a rule that injects faults into requests; the function that is returned removes it. */
+  /** Adds a rule that injects faults into requests. Returns a function that removes the rule. */
   rule(rule: (request: Request) => StoreFault | undefined): () => void {
     this.#rules.push(rule);
     return () => {
@@ -86,20 +86,20 @@
   }
 
   async handle(request: Request): Promise<HttpResponse> {
-    const fate = this.#rules.map((rule) => rule(request)).find((f) => f !== undefined);
-    if (fate === undefined) return this.#execute(request);
-    if (fate === 'refuse') return { status: 503, body: null };
-    if (fate === 'lose answer') {
+    const fault = this.#rules.map((rule) => rule(request)).find((f) => f !== undefined);
+    if (fault === undefined) return this.#execute(request);
+    if (fault === 'refuse') return { status: 503, body: null };
+    if (fault === 'lose answer') {
       await this.#execute(request);
       return noAnswer();
     }
-    if ('lateMs' in fate) {
-      // By the conditions, leases and outages of that moment.
-      this.clock.after(fate.lateMs, () => void this.#execute(request));
+    if ('lateMs' in fault) {
+      // Conditions, leases and outages count as they are at the time of execution.
+      this.clock.after(fault.lateMs, () => void this.#execute(request));
       return noAnswer();
     }
     const answer = await this.#execute(request);
-    await this.clock.sleep(fate.slowMs);
+    await this.clock.sleep(fault.slowMs);
     return answer;
   }
 
@@ -118,10 +118,10 @@
 
   #expire(): void {
     if (this.refused.has('*')) return;
-    for (const [id, grant] of this.#grants) if (this.clock.now() > grant.endsAt) this.#end(id);
+    for (const [id, grant] of this.#grants) if (this.clock.now() > grant.endsAt) this.#revoke(id);
   }
 
-  #end(id: number): void {
+  #revoke(id: number): void {
     this.#grants.delete(id);
     for (const [path, stored] of [...this.data]) if (stored.hold === id) this.#change([{ delete: path }]);
   }
@@ -150,9 +150,9 @@
           stamp: this.revision,
           ...(op.hold === undefined ? {} : { hold: op.hold }),
         });
-        this.#news.push({ stamp: this.revision, set: op.set, data: op.data });
+        this.#changeLog.push({ stamp: this.revision, set: op.set, data: op.data });
       } else if (op.delete !== undefined && this.data.delete(op.delete)) {
-        this.#news.push({ stamp: this.revision, delete: op.delete });
+        this.#changeLog.push({ stamp: this.revision, delete: op.delete });
       }
     }
     const watchers = this.#watchers;
@@ -160,8 +160,8 @@
     for (const wake of watchers) wake();
   }
 
-  /** Why a transaction is larger than the limits allow. */
-  #sizeFault({ guards, apply }: Txn): string | undefined {
+  /** How a transaction exceeds the size limits; undefined if it doesn't. */
+  #sizeViolation({ guards, apply }: Txn): string | undefined {
     if (!this.limits) return undefined;
     const { valueKb, txnOps } = this.limits;
     if (apply.length > txnOps) return `${apply.length} changes`;
@@ -171,27 +171,27 @@
     return large && `${large.set} has ${jsonBytes(large.data)} bytes`;
   }
 
-  /** Takes the changes from what the rate allows; false when that is less. */
-  #takeChanges(count: number): boolean {
+  /** Takes one token of the write rate limit per change; false if there are too few tokens. */
+  #consumeWriteTokens(count: number): boolean {
     if (!this.limits || count === 0) return true;
     const { writeRps } = this.limits;
     const now = this.clock.now();
-    const gained = ((now - this.#changesFilledAt) / 1000) * writeRps;
-    this.#changesLeft = Math.min(writeRps, this.#changesLeft + gained);
-    this.#changesFilledAt = now;
-    if (count > this.#changesLeft) return false;
-    this.#changesLeft -= count;
+    const newTokens = ((now - this.#tokensRefilledAt) / 1000) * writeRps;
+    this.#writeTokens = Math.min(writeRps, this.#writeTokens + newTokens);
+    this.#tokensRefilledAt = now;
+    if (count > this.#writeTokens) return false;
+    this.#writeTokens -= count;
     return true;
   }
 
   #txn(from: string, { guards, apply }: Txn): HttpResponse {
-    const fault = this.#sizeFault({ guards, apply });
-    if (fault !== undefined) {
-      this.oversizedTransactions.push(`${from}: ${fault}`);
-      return { status: 400, body: { error: fault } };
+    const violation = this.#sizeViolation({ guards, apply });
+    if (violation !== undefined) {
+      this.oversizedTransactions.push(`${from}: ${violation}`);
+      return { status: 400, body: { error: violation } };
     }
-    // Also those whose conditions fail are counted.
-    if (!this.#takeChanges(apply.length)) {
+    // Transactions whose conditions fail count against the rate limit, too.
+    if (!this.#consumeWriteTokens(apply.length)) {
       this.rejectedByRateLimit += 1;
       return { status: 429, body: null };
     }
@@ -213,7 +213,9 @@
     const since = Number(params.get('since'));
     const until = this.clock.now() + Number(params.get('holdMs') ?? 0);
     for (;;) {
-      const news = this.#news.filter((n) => n.stamp > since && (n.set ?? n.delete ?? '').startsWith(prefix));
+      const news = this.#changeLog.filter(
+        (n) => n.stamp > since && (n.set ?? n.delete ?? '').startsWith(prefix),
+      );
       const refused = this.refused.has('*') || this.refused.has(from);
       if (!refused && (news.length > 0 || this.clock.now() >= until)) {
         return { status: 200, body: { ledger: this.revision, news } };
@@ -240,7 +242,7 @@
     const grant = this.#grants.get(id);
     if (!grant) return { status: 404, body: null };
     if (method === 'DELETE') {
-      this.#end(id);
+      this.#revoke(id);
     } else {
       grant.endsAt = this.clock.now() + grant.ttlMs;
       this.clock.after(grant.ttlMs + 1, () => {
--- a/test/fakes/worker.ts
+++ b/test/fakes/worker.ts
@@ -1,4 +1,4 @@
-/** @file A worker by its published protocol, in memory: it reports, heeds its lease and executes commands. */
+/** @file A fake worker that speaks the published protocol: it sends heartbeats, obeys its lease and executes commands. */
 import { NoResponseError, type HttpResponse } from '../../src/transport/http-client';
 import type { TimerClock } from './clock';
 import { MachineClock } from './machine-clock';
@@ -8,7 +8,7 @@
 
 export type { JobProfile, TaskObserver } from './task-execution';
 
-/** Commands with the owner's fencing token and the incarnation that they are for, in the words of the wire. */
+/** Commands in their wire format, with the owner's fencing token and the worker incarnation that they are for. */
 interface Commands {
   baton?: number;
   shift?: number;
@@ -22,27 +22,27 @@
   readonly cpus: number;
 }
 
-/** To whom a worker reports, how often, and how long its lease lasts. */
+/** The controllers that a worker sends heartbeats to, the heartbeat interval, and the duration of its lease. */
 export interface WorkerSettings {
   readonly controllers: readonly { name: string; address: string }[];
   readonly heartbeatS: number;
   readonly leaseS: number;
 }
 
-/** What surrounds a worker. */
+/** The clock, the network and the observer of tasks that a worker uses. */
 export interface WorkerEnvironment {
   readonly clock: TimerClock;
   readonly network: Network;
   readonly tasks: TaskObserver;
 }
 
-const REPORT_TIMEOUT_MS = 4_000;
-/** Pauses before the next report: after no answer, after a redirection, and while the machine hangs. */
-const RETRY_MS = 1_000;
-const REDIRECT_MS = 100;
-const HANG_CHECK_MS = 100;
+const HEARTBEAT_TIMEOUT_MS = 4_000;
+/** Delays before the next heartbeat: after no response, after a redirect, and while the machine hangs. */
+const RETRY_DELAY_MS = 1_000;
+const REDIRECT_DELAY_MS = 100;
+const HANG_CHECK_INTERVAL_MS = 100;
 
-/** A worker on a machine in memory. */
+/** A worker on a fake machine. */
 export class FakeWorker {
   incarnation = 1;
   sequence = 0;
@@ -50,12 +50,12 @@
   spotNoticeS: number | null = null;
   isUp = false;
   isTerminated = false;
-  /** What it answers to commands and questions instead of executing them. */
+  /** The response to commands and status queries, which are then not executed. */
   malformedResponse: (() => HttpResponse) | undefined;
-  readonly #time: MachineClock;
+  readonly #clock: MachineClock;
   readonly #execution: TaskExecution;
-  /** When the last report that was answered was sent: its lease counts from then. */
-  #answeredSentAt: number;
+  /** When the last heartbeat that got a response was sent; the lease starts at that time. */
+  #leaseStartedAt: number;
   #controller = 0;
 
   constructor(
@@ -63,9 +63,9 @@
     private readonly settings: WorkerSettings,
     private readonly environment: WorkerEnvironment,
   ) {
-    this.#time = new MachineClock(environment.clock);
-    this.#execution = new TaskExecution(machine, this.#time, environment.tasks);
-    this.#answeredSentAt = environment.clock.now();
+    this.#clock = new MachineClock(environment.clock);
+    this.#execution = new TaskExecution(machine, this.#clock, environment.tasks);
+    this.#leaseStartedAt = environment.clock.now();
   }
 
   get id(): string {
@@ -94,17 +94,17 @@
     return this.#execution.reapCommands;
   }
 
-  /** Tasks that were commanded to start and are not running yet. */
+  /** Tasks whose start command was executed and that don't run yet. */
   get startingTasks(): string[] {
     return this.#execution.startingTasks;
   }
 
-  /** CPUs that no task holds. */
+  /** CPUs that no attempt uses. */
   get freeCpus(): number {
     return this.#execution.freeCpus;
   }
 
-  /** Whether it fails every task that it starts. */
+  /** Whether every task that starts here fails. */
   get failsTasks(): boolean {
     return this.#execution.failsTasks;
   }
@@ -114,20 +114,20 @@
   }
 
   get isHanging(): boolean {
-    return this.#time.isHanging;
+    return this.#clock.isHanging;
   }
 
-  /** A machine that hangs runs no tasks. When it resumes, its lease comes first, then the commands that have queued. */
+  /** A hung machine runs no tasks. When it resumes, it checks its lease before it executes queued commands. */
   set isHanging(hangs: boolean) {
-    if (hangs === this.#time.isHanging) return;
+    if (hangs === this.#clock.isHanging) return;
     if (hangs) {
-      this.#time.hang();
+      this.#clock.hang();
       return;
     }
-    this.#time.resume();
+    this.#clock.resume();
     if (this.isTerminated) return;
     this.#checkLease();
-    this.#time.runQueued();
+    this.#clock.runQueued();
   }
 
   start(): void {
@@ -136,16 +136,16 @@
     void this.#run();
   }
 
-  /** The cloud takes the machine away. */
+  /** The cloud terminates the machine. */
   terminate(): void {
     this.isTerminated = true;
     this.isUp = false;
-    this.#time.clear();
+    this.#clock.clear();
     this.environment.network.detach(this.address);
     this.#execution.dropAll();
   }
 
-  /** The next report, in the words of the wire. */
+  /** The next heartbeat, in its wire format. */
   nextHeartbeat(): Record<string, unknown> {
     this.sequence += 1;
     return {
@@ -173,76 +173,76 @@
     while (!this.isTerminated) {
       this.#checkLease();
       if (this.isHanging) {
-        await clock.sleep(HANG_CHECK_MS);
+        await clock.sleep(HANG_CHECK_INTERVAL_MS);
         continue;
       }
       const controller = this.settings.controllers[this.#controller % this.settings.controllers.length];
       if (!controller) return;
-      await clock.sleep(await this.#reportTo(controller.address));
+      await clock.sleep(await this.#sendHeartbeat(controller.address));
     }
   }
 
-  /** Reports once; how long to wait until the next report. */
-  async #reportTo(address: string): Promise<number> {
+  /** Sends a heartbeat. Returns how long to wait before the next one, in milliseconds. */
+  async #sendHeartbeat(address: string): Promise<number> {
     const { clock, network } = this.environment;
     const sentAt = clock.now();
     const { incarnation } = this;
     try {
-      const answer = await network
+      const response = await network
         .caller(this.id)
-        .call(address, 'POST', '/hello', this.nextHeartbeat(), REPORT_TIMEOUT_MS);
-      // What came during a hang is read when it resumes; a response that is too old by then is dropped.
-      if (this.isHanging) await new Promise<void>((goOn) => this.#time.onResume(goOn));
-      if (clock.now() - sentAt > REPORT_TIMEOUT_MS) throw new NoResponseError('time is up', true);
-      if (answer.status !== 200) return this.#chooseController(answer);
-      this.#onAnswer(answer.body as Commands, sentAt, incarnation);
+        .call(address, 'POST', '/hello', this.nextHeartbeat(), HEARTBEAT_TIMEOUT_MS);
+      // A response that arrives during a hang is read when the machine resumes, and dropped if it is too old by then.
+      if (this.isHanging) await new Promise<void>((resume) => this.#clock.onResume(resume));
+      if (clock.now() - sentAt > HEARTBEAT_TIMEOUT_MS) throw new NoResponseError('time is up', true);
+      if (response.status !== 200) return this.#chooseController(response);
+      this.#onResponse(response.body as Commands, sentAt, incarnation);
       return this.settings.heartbeatS * 1000;
     } catch (error) {
       if (!(error instanceof NoResponseError)) throw error;
       this.#controller += 1;
-      return RETRY_MS;
+      return RETRY_DELAY_MS;
     }
   }
 
-  #onAnswer({ baton, orders }: Commands, sentAt: number, incarnation: number): void {
+  #onResponse({ baton, orders }: Commands, sentAt: number, incarnation: number): void {
     if (baton === undefined || baton < this.fencingToken || this.incarnation !== incarnation) return;
     this.fencingToken = baton;
-    this.#answeredSentAt = sentAt;
+    this.#leaseStartedAt = sentAt;
     this.#execution.execute(orders);
   }
 
-  /** Goes to the controller that a refusal names, or else to the next; how long to wait before that. */
+  /** Selects the controller that a redirect names, or else the next one. Returns the delay before the next heartbeat. */
   #chooseController({ status, body }: HttpResponse): number {
     const { controllers } = this.settings;
-    const foreman = (body as { foreman?: string } | null)?.foreman;
-    const named = controllers.findIndex(({ name }) => name === foreman);
-    if (status === 421 && named >= 0 && named !== this.#controller % controllers.length) {
-      this.#controller = named;
-      return REDIRECT_MS;
+    const controllerName = (body as { foreman?: string } | null)?.foreman;
+    const namedIndex = controllers.findIndex(({ name }) => name === controllerName);
+    if (status === 421 && namedIndex >= 0 && namedIndex !== this.#controller % controllers.length) {
+      this.#controller = namedIndex;
+      return REDIRECT_DELAY_MS;
     }
     this.#controller += 1;
-    return RETRY_MS;
+    return RETRY_DELAY_MS;
   }
 
   #checkLease(): void {
     const { clock } = this.environment;
-    if (clock.now() - this.#answeredSentAt <= this.settings.leaseS * 1000) return;
+    if (clock.now() - this.#leaseStartedAt <= this.settings.leaseS * 1000) return;
     this.#execution.dropAll();
     this.incarnation += 1;
-    this.#answeredSentAt = clock.now();
+    this.#leaseStartedAt = clock.now();
   }
 
   #handle(request: Request): HttpResponse | Promise<HttpResponse> {
     if (this.malformedResponse) return this.malformedResponse();
-    if (!this.isHanging) return this.#answer(request);
+    if (!this.isHanging) return this.#respond(request);
     return new Promise((resolve) => {
-      this.#time.onResume(() => {
-        resolve(this.#answer(request));
+      this.#clock.onResume(() => {
+        resolve(this.#respond(request));
       });
     });
   }
 
-  #answer({ path, body }: Request): HttpResponse {
+  #respond({ path, body }: Request): HttpResponse {
     this.#checkLease();
     if (path === '/inspect') return { status: 200, body: this.nextHeartbeat() };
     const { baton, shift, orders } = body as Commands;
