--- a/test/format-gate.test.ts
+++ b/test/format-gate.test.ts
@@ -71,7 +71,7 @@
 
 test('an open gate stays open when a format record is deleted and the key-value store is unavailable', async () => {
   const deployment = new Deployment();
-  for (const node of CONTROLLERS) await (await deployment.gate(node)).writeFormatRecord();
+  for (const controller of CONTROLLERS) await (await deployment.gate(controller)).writeFormatRecord();
   const gate = await deployment.gate('node-0');
   assert.equal(gate.isOpenForFormat2, true);
   await deployment.store.compareAndSwap([], [{ delete: KEY.format('node-2') }]);
@@ -82,7 +82,8 @@
 
 test('while the key-value store is unavailable, a closed gate stays closed', async () => {
   const deployment = new Deployment();
-  for (const node of CONTROLLERS.slice(1)) await (await deployment.gate(node)).writeFormatRecord();
+  for (const controller of CONTROLLERS.slice(1))
+    await (await deployment.gate(controller)).writeFormatRecord();
   const gate = await deployment.gate('node-0');
   deployment.fakeStore.outage(true);
   await assert.rejects(gate.confirmOpenForFormat2(), StoreRejectedError);
@@ -93,7 +94,8 @@
 test('format records that are malformed or of an older format do not count, and their controllers replace them', async () => {
   for (const value of [{ format: FORMAT.dependencies - 1 }, { format: 'new' }, {}, null, 'x']) {
     const deployment = new Deployment();
-    for (const node of CONTROLLERS.slice(1)) await (await deployment.gate(node)).writeFormatRecord();
+    for (const controller of CONTROLLERS.slice(1))
+      await (await deployment.gate(controller)).writeFormatRecord();
     await deployment.putFormatRecord('node-0', value);
     const gate = await deployment.gate('node-0');
     assert.deepEqual(gate.controllersWithout(), ['node-0'], JSON.stringify(value));
@@ -105,7 +107,8 @@
 
 test('each format has its own gate: a format record counts for its format and older ones, and is raised later', async () => {
   const deployment = new Deployment();
-  for (const node of CONTROLLERS.slice(1)) await (await deployment.gate(node)).writeFormatRecord();
+  for (const controller of CONTROLLERS.slice(1))
+    await (await deployment.gate(controller)).writeFormatRecord();
   await deployment.putFormatRecord('node-0', { format: FORMAT.dependencies });
   const gate = await deployment.gate('node-0');
   assert.equal(gate.isOpenForFormat2, true, 'dependencies are accepted during an upgrade to a newer format');
--- a/test/state-limits-lowered.test.ts
+++ b/test/state-limits-lowered.test.ts
@@ -177,7 +177,7 @@
   );
   secondOwner.complete(70_000, 80_000);
   await fixture.clock.advance(40);
-  // Another owner takes over before all is recorded. Workers report unrecorded completions again.
+  // Another owner takes over before all completions are recorded. Workers report the unrecorded ones again.
   secondOwner.stop();
   await fixture.clock.advance(5_000);
   const lastOwner = await Owner.acquire(fixture, { isGateOpen: true, nextLimits: LOWERED_LIMITS });
--- a/test/transactions.test.ts
+++ b/test/transactions.test.ts
@@ -124,7 +124,7 @@
   return () => count;
 }
 
-/** Requests the jobs' states from all controllers in turn. After one reports a final state, all have to. */
+/** Requests the jobs' states from all controllers in turn. A final state, once reported, must not change. */
 async function checkJobStates(
   cluster: SimulatedCluster,
   ids: string[],
@@ -289,7 +289,7 @@
     const { apply = [] } = request.body as { apply?: Change[] };
     if (TRANSACTION_KINDS['acquisition of a shard']?.(apply, []) !== true) return undefined;
     acquirer = request.from;
-    // The leader assigns the shard to another controller before the watch reports the acquisition to the first.
+    // The leader assigns the shard to another controller before the watch reports the acquisition to the acquirer.
     cluster.clock.after(20, () => {
       const record = cluster.store.data.get('live/block/0')?.data as Record<string, unknown>;
       const newOwner = [0, 1, 2].map((index) => `node-${index}`).find((node) => node !== acquirer);
