--- a/src/admission/admission-control.ts
+++ b/src/admission/admission-control.ts
@@ -30,13 +30,13 @@
   readonly cache: WatchCache;
   readonly clock: Clock;
   readonly log: Log;
-  /** Limits the look-ups of deferred jobs, so that a flood of submissions leaves enough requests for polls. */
+  /** Limits the reads that check whether a deferred job was accepted before, so that enough requests remain for polls. */
   readonly lookUpLimit: RateLimit;
   /** Applies a change that the key-value store has acknowledged to the watch cache, and notifies the peers. */
   publish(event: ChangeEvent): void;
 }
 
-/** The current epoch, undefined while there is no overload, and the condition that holds only while it is current. */
+/** The current epoch, undefined if there is none or it has expired, and the condition that its record is unchanged. */
 interface CurrentEpoch {
   readonly epoch: Epoch | undefined;
   readonly condition: Condition;
@@ -46,10 +46,10 @@
  * Admission by epochs. A decision depends on the epoch, on the work admitted for the job's flow in this overload, and
  * on the job. The transaction that accepts the job has the versions of the epoch's and the flow's record as conditions.
  * So a controller with a stale watch cache may defer a job that another one would admit, but never admits a job that
- * the latest records defer. Outside of an overload, admission adds the condition on the epoch and nothing else.
+ * the latest records defer. Outside of an overload, admission adds only the condition on the epoch.
  */
 export class AdmissionControl implements AdmissionPolicy {
-  /** Steady time at which this controller received the current epoch. */
+  /** Monotonic time at which this controller received the current epoch. */
   #epochSeenAt = -Infinity;
   #isMalformedReported = false;
 
@@ -142,8 +142,8 @@
   }
 
   /**
-   * Whether no leader writes epochs any more, because admission was switched off at the leader or at all controllers.
-   * Without this time limit, jobs would be deferred forever.
+   * Whether the epoch has expired: no leader has written one for too long, because admission was switched off at the
+   * leader or at all controllers. Without this time limit, jobs would be deferred forever.
    */
   #hasExpired(epochMs: number): boolean {
     return this.context.clock.now() - this.#epochSeenAt > epochMs * EXPIRES_AFTER_EPOCHS;
--- a/src/admission/epoch-records.ts
+++ b/src/admission/epoch-records.ts
@@ -7,7 +7,7 @@
 
 const HASH_CHARS = 24;
 
-/** Hashes a name for use in a key, since classes and teams may contain characters that keys may not. */
+/** Hashes a name for use in a key, since classes and teams may contain characters that are invalid in keys. */
 function hashed(text: string): string {
   return createHash('sha256').update(text).digest('hex').slice(0, HASH_CHARS);
 }
--- a/src/admission/epoch-writer.ts
+++ b/src/admission/epoch-writer.ts
@@ -36,13 +36,13 @@
 /**
  * Writes the next admission epoch while this controller is the leader. Its state is in the key-value store, except for
  * the time since the fleet last grew, which every controller tracks. So an overload continues unchanged under a new
- * leader. Each transaction has the leader record and the previous epoch as conditions, so a delayed one changes nothing
+ * leader. Each transaction has the leader record and the previous epoch as conditions, so a delayed transaction fails
  * after another leader was elected or another epoch was written.
  */
 export class EpochWriter {
   readonly #growth = new FleetGrowthTracker();
   #writtenAt: number | undefined;
-  /** The weights of the current epoch for which a mismatch with this controller's weights was last logged. */
+  /** Weights of an epoch, as JSON, that were logged as different from this controller's; undefined if they agree. */
   #reportedWeights: string | undefined;
 
   constructor(
@@ -102,7 +102,7 @@
     }
   }
 
-  /** The time for which the next epoch grants work: since this controller's last epoch, else one epoch interval. */
+  /** The time for which the next epoch grants work: that since this leader's previous epoch, or one epoch interval. */
   #elapsedMs(now: number, epochMs: number): number {
     const writtenAt = this.#writtenAt ?? now - epochMs;
     return Math.min(now - writtenAt, epochMs * MAX_ELAPSED_EPOCHS);
@@ -127,7 +127,7 @@
     else log.info({ ...logFields, flows: next.grants.length }, 'admission: epoch written');
   }
 
-  /** Logs when this controller's weights differ from those of the epoch, which apply until the overload ends. */
+  /** Logs an error if this controller's weights differ from the epoch's, which apply until the overload ends. */
   #logWeightMismatch(current: Epoch, options: AdmissionOptions): void {
     const inForce = JSON.stringify(current.weights);
     const differ = current.isOverloaded && inForce !== JSON.stringify(options.weights);
@@ -149,7 +149,7 @@
     });
   }
 
-  /** Admission is off at the leader. Deleting the epoch ends an overload for all controllers at once. */
+  /** Deletes the epoch, which ends an overload for all controllers at once. Later steps delete the other records. */
   async #deleteAllRecords(leaderCondition: Condition): Promise<void> {
     if (this.context.cache.get(KEY.admission)) await this.#deleteEpoch(leaderCondition);
     else await this.#deleteRecords(leaderCondition, () => true);
@@ -165,7 +165,7 @@
     publish(eventOfChange(deletion, result.revision));
   }
 
-  /** Deletes obsolete class and flow records, as many as one transaction may hold. */
+  /** Deletes obsolete class and flow records, as many as one transaction may contain. */
   async #deleteRecords(leaderCondition: Condition, isObsolete: (value: unknown) => boolean): Promise<void> {
     const { cache, store, maxChanges } = this.context;
     const obsolete = [PREFIX.admissionClass, PREFIX.admissionFlow]
@@ -187,7 +187,7 @@
   }
 }
 
-/** Omits the classes that exceed the limit on changes. Their flows get the grant of a new flow. */
+/** Omits classes whose records don't fit into one transaction. Their flows get the grant of a new flow. */
 function limitClasses(epoch: Epoch, maxClasses: number): Epoch {
   const classes = [...new Set(epoch.grants.map(({ jobClass }) => jobClass))];
   const kept = new Set(classes.slice(0, maxClasses));
--- a/src/admission/epoch.ts
+++ b/src/admission/epoch.ts
@@ -37,7 +37,7 @@
   readonly load: Load;
   readonly stalledForS: number;
   readonly flows: readonly FlowLoad[];
-  /** Time for which the epoch grants work, in seconds: usually that since the previous epoch. */
+  /** Time for which the epoch grants work, in seconds: usually the time since the previous epoch. */
   readonly elapsedS: number;
 }
 
@@ -47,9 +47,9 @@
 const MIN_RATE_FACTOR = 0.25;
 const MAX_RATE_FACTOR = 4;
 /**
- * Exponent by which the admission rate depends on the backlog. Grants of flows in debt only repay debt and admit no
- * work. When most flows are in debt, the grants must reach several times the capacity, or the fleet would run idle and
- * the overload would end too soon.
+ * Exponent by which the admission rate rises as the backlog shrinks. Grants of flows in debt only repay debt and admit
+ * no work. When most flows are in debt, the rate must therefore reach several times the capacity, or the fleet would run
+ * idle and the overload would end too soon.
  */
 const RATE_EXPONENT = 2;
 
@@ -58,7 +58,7 @@
   return { number: 0, overload: 0, isOverloaded: false, weights, newFlowGrant: 0, grants: [] };
 }
 
-/** The next epoch; the same object if there is neither an overload nor the end of one, so nothing has to be written. */
+/** Computes the next epoch. Returns `current` itself if there was and is no overload: nothing has to be written. */
 export function nextEpoch(current: Epoch, input: EpochInput, options: AdmissionOptions): Epoch {
   const { load, stalledForS } = input;
   const isAnyGrantExhausted = hasExhaustedGrant(current, input.flows);
@@ -75,7 +75,7 @@
 
 /**
  * The rate at which work is admitted, in CPU seconds per second. Users' estimates are often wrong by half, so
- * the backlog corrects the rate: its drain time is kept near the midpoint between the two thresholds of overload.
+ * the backlog corrects the rate, which keeps its drain time near the midpoint between the two thresholds of overload.
  */
 export function admissionRate({ load }: EpochInput, { enterS, leaveS }: AdmissionOptions): number {
   const targetS = (enterS + leaveS) / 2;
@@ -108,7 +108,7 @@
 }
 
 function continueOverload(current: Epoch, input: EpochInput, options: AdmissionOptions): Epoch {
-  // The weights stay the same during an overload: otherwise a flow's debt would mix amounts by different weights.
+  // The weights stay the same during an overload: otherwise a flow's debt would sum up amounts by different weights.
   const { weights } = current;
   const rates = flowRates(input, options, weights);
   const maxCredit = (key: string): number => (rates.get(key) ?? 0) * options.epochS * MAX_SAVED_EPOCHS;
@@ -143,19 +143,19 @@
   return epoch.grants.find((grant) => flowKey(grant) === key);
 }
 
-/** Indexes the granted amounts of an epoch, for the look-up of many flows. */
+/** Returns a function that finds the CPU seconds granted to a flow; `newFlowGrant` if the epoch lacks the flow. */
 function grantLookup(epoch: Epoch): (flow: Flow) => number {
   const granted = new Map(epoch.grants.map((grant) => [flowKey(grant), grant.granted]));
   return (flow) => granted.get(flowKey(flow)) ?? epoch.newFlowGrant;
 }
 
-/** Whether any flow has exhausted its grant, so that more of its jobs may be deferred. */
+/** Whether there is an overload in which a flow has exhausted its grant, so that its next jobs may be deferred. */
 function hasExhaustedGrant(epoch: Epoch, flows: readonly FlowLoad[]): boolean {
   const grantedTo = grantLookup(epoch);
   return epoch.isOverloaded && flows.some((flow) => flow.admitted >= grantedTo(flow));
 }
 
-/** The amount granted to each flow per second if all flows had unlimited demand. By `flowKey`. */
+/** The rate at which each flow's grant grows if all have unlimited demand: CPU seconds per second, by `flowKey`. */
 function flowRates(input: EpochInput, options: AdmissionOptions, weights: Weights): Map<string, number> {
   const demands = input.flows.map(({ jobClass, team }) => ({ jobClass, team, demand: Infinity }));
   return fairSharesByFlow(admissionRate(input, options), demands, weights);
@@ -166,7 +166,7 @@
   readonly overload: number;
   readonly weights: Weights;
   readonly grants: readonly FlowGrant[];
-  /** The result of `flowRates`. */
+  /** Growth of each flow's grant, by `flowKey`, in CPU seconds per second. */
   readonly rates: ReadonlyMap<string, number>;
   readonly epochS: number;
 }
--- a/src/admission/fair-shares.ts
+++ b/src/admission/fair-shares.ts
@@ -14,7 +14,7 @@
 export interface WeightedDemand<Key> {
   readonly key: Key;
   readonly weight: number;
-  /** The most that it can use; `Infinity` if unlimited. */
+  /** The largest share that it can use; `Infinity` if unlimited. */
   readonly demand: number;
 }
 
@@ -26,8 +26,8 @@
 const EPSILON = 1e-9;
 
 /**
- * Weighted max-min fairness: divides an amount in proportion to the weights. A share's excess over its demand is
- * divided among the others (Demers, Keshav and Shenker, "Analysis and Simulation of a Fair Queueing Algorithm", 1989).
+ * Weighted max-min fairness: divides an amount by weight, but no share exceeds its demand. The excess is divided among
+ * the other demands (Demers, Keshav and Shenker, "Analysis and Simulation of a Fair Queueing Algorithm", 1989).
  */
 export function maxMinFairShares<Key>(
   amount: number,
--- a/src/admission/load-snapshot.ts
+++ b/src/admission/load-snapshot.ts
@@ -39,7 +39,7 @@
   return [...cache.under(PREFIX.machine)].length;
 }
 
-/** Sums up the accepted work by flow, and the capacity. A limited team's work counts for at most `horizonS`. */
+/** Sums up accepted work and capacity. In the total, a team counts for at most `horizonS` seconds at its CPU limit. */
 export function readLoadSnapshot(context: LoadContext, epoch: Epoch, horizonS: number): LoadSnapshot {
   const flows = new Map<string, { jobClass: string; team: string; backlog: number }>();
   const backlogOfTeam = new Map<string, number>();
@@ -72,7 +72,7 @@
   return Math.max(0, tasks - done - running * RUNNING_TASK_REMAINDER) * cpus * estimateS;
 }
 
-/** The backlog without work that only a team's limit delays: no other team waits for it, so it is no overload. */
+/** The backlog without work that only its team's CPU limit delays. Such work delays no other team: it is no overload. */
 function servableBacklog(
   backlogOfTeam: ReadonlyMap<string, number>,
   context: LoadContext,
--- a/src/admission/overload.ts
+++ b/src/admission/overload.ts
@@ -33,7 +33,7 @@
 export class FleetGrowthTracker {
   #baseline: { at: number; capacity: number } | undefined;
 
-  /** Records the size of the fleet at a steady time in milliseconds. */
+  /** Records the number of machines at the monotonic time `now` in milliseconds. */
   observe(capacity: number, now: number): void {
     const grew = !this.#baseline || capacity > this.#baseline.capacity * (1 + MIN_GROWTH_SHARE);
     if (grew) this.#baseline = { at: now, capacity };
@@ -54,12 +54,12 @@
   readonly stalledForS: number;
 }
 
-/** While jobs may be deferred, the backlog must fall below this part of the usual threshold to end an overload. */
+/** While a flow's grant is exhausted, an overload ends only below this part of `leaveS`. */
 const EXHAUSTED_GRANT_LEAVE_FACTOR = 0.25;
 
 /**
- * Whether there is an overload. The threshold for its end is lower than that for its beginning, and lower still while a
- * flow's grant is exhausted: grants then grow faster than the fleet works, and deferred jobs cause no burst.
+ * Whether there is an overload. It ends at a lower threshold than it begins, and at a still lower one while a flow's
+ * grant is exhausted. With so small a backlog, grants grow faster than the fleet works, so deferred jobs cause no burst.
  */
 export function isOverloaded(state: OverloadState, thresholds: OverloadThresholds): boolean {
   const { wasOverloaded, isAnyGrantExhausted, load, stalledForS } = state;
--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -26,7 +26,7 @@
 
 /**
  * Ends the wait of a loop when woken, or after a timeout; a wake before the wait ends that wait at once. A wake does not
- * cancel the timer of the wait: it keeps running, and is the timeout of the next wait. With hundreds of wakes a second,
+ * cancel the timer of the wait: the timer keeps running as the timeout of the next wait. With hundreds of wakes a second,
  * aborting and restarting the timer cost more than the work that followed the wakes (docs/PERFORMANCE.md).
  */
 export class WakeSignal {
--- a/src/base/event-loop-delay.ts
+++ b/src/base/event-loop-delay.ts
@@ -2,13 +2,13 @@
 import type { Clock } from './clock';
 
 const PROBE_INTERVAL_MS = 100;
-/** Decay of the measured delay at each probe: one short delay does not mean that the overload has ended. */
+/** Decay of the measured delay at each probe, since one short delay does not mean that the overload has ended. */
 const DECAY_FACTOR = 0.7;
-/** From this delay on consolidation and eager re-issue are shed. */
+/** From this delay on, consolidation and eager re-issue are shed. */
 const SHED_OPTIMIZATION_MS = 250;
-/** From this delay on there is no scale-out. */
+/** From this delay on, there is no scale-out. */
 const SHED_SCALE_OUT_MS = 1_000;
-/** From this delay on submissions are refused: users wait 5 s for a response, and would receive it too late anyway. */
+/** From this delay on, submissions are refused, since users wait only 5 s and would get the response too late. */
 const SHED_SUBMISSIONS_MS = 2_000;
 
 /**
--- a/src/base/log.ts
+++ b/src/base/log.ts
@@ -4,7 +4,7 @@
 /** The logger that the components of a controller use. */
 export type Log = Pick<pino.Logger, 'error' | 'warn' | 'info' | 'debug'>;
 
-/** Keys that the logger itself writes; `node` only where it is given. */
+/** Keys that the logger itself writes; `node` only if the log has a node name. */
 const RESERVED_KEYS = ['level', 'time', 'node', 'msg'] as const;
 
 /** The fields of a log call. */
--- a/src/base/operator-table.ts
+++ b/src/base/operator-table.ts
@@ -1,4 +1,4 @@
-/** @file Reads tables of the operators' settings file that are defined by one package each. */
+/** @file Reads those tables of the operators' settings file that a single package defines, such as `[admission]`. */
 import type * as z from 'zod';
 import type { Settings } from './settings';
 import { checkSettings, SettingsError } from './settings-schema';
--- a/src/base/settings-schema.ts
+++ b/src/base/settings-schema.ts
@@ -32,7 +32,7 @@
   write_rps: z.number().positive(),
   value_kb: z.number().positive(),
   txn_ops: z.int().min(8),
-  /** Limits that will come into force at some later time; see `readNextLimits`. */
+  /** Announced limits that come into force at some later time; `readNextLimits` checks them. */
   next: z.unknown().optional(),
 });
 
--- a/src/base/settings.ts
+++ b/src/base/settings.ts
@@ -21,15 +21,15 @@
   /** Longest time that a controller may act on a shard without a response from the key-value store. */
   shardLeaseMs: number;
   /**
-   * How long after seeing a cancellation the owner may still renew the lease of a worker with an unconfirmed start of that
-   * job. The shard lease (within which the owner sees the cancellation), this time and the worker's lease add up to less
-   * than `cancel_s`.
+   * Time for which the owner, after seeing a cancellation, still renews the lease of a worker that may execute a start
+   * command of the cancelled job. The shard lease (within which the owner sees the cancellation), this time and the
+   * worker's lease add up to less than `cancel_s`.
    */
   cancellationUncertaintyMs: number;
   sockets: SocketShares;
-  /** Limits derived from the share of a core; the operators' own values take precedence. */
+  /** Limits derived from this controller's share of a core; the operators' own values take precedence. */
   throttling: Throttling;
-  /** Lower limits of the key-value store that the platform has announced; undefined where it has announced none. */
+  /** Lower limits of the key-value store that the platform has announced; undefined if it has announced none. */
   nextStateLimits: Partial<StateLimits> | undefined;
   /** Warnings on values that are ignored or may be too small; each names the setting. */
   warnings: string[];
@@ -42,9 +42,9 @@
 /** Duration of a lease extension that peers grant an owner (`LeaseExtension`). */
 export const LEASE_EXTENSION_MS = 2_500;
 const MIN_SHARD_LEASE_MS = 2_000;
-/** Margin for late timers and messages in flight in a sum that must stay below the time limit for cancellations. */
+/** Margin for late timers and messages in flight, by which `cancellationUncertaintyMs` is shortened. */
 const IN_FLIGHT_MARGIN_MS = 1_000;
-/** Enough for 600 machines with the runtime flags in `deploy/service.toml`; figures in docs/PERFORMANCE.md. */
+/** Enough memory for 600 machines with the runtime flags in `deploy/service.toml`; figures in docs/PERFORMANCE.md. */
 const MIN_MEMORY_MB = 100;
 /** The fewest connections with which a controller can work: a few workers, users and the health probe. */
 const MIN_INBOUND_CONNECTIONS = 16;
--- a/src/base/sockets.ts
+++ b/src/base/sockets.ts
@@ -10,7 +10,7 @@
   readonly backlog: number;
   /** Commands that may be in flight at once. */
   readonly commands: number;
-  /** Idle outbound connections that may always stay open for reuse; see `maxIdleConnections`. */
+  /** Idle outbound connections that may always stay open for reuse; `maxIdleConnections` may allow more. */
   readonly idle: number;
   /** Connections to the key-value store, and the same number to the cloud. */
   readonly external: number;
@@ -34,8 +34,8 @@
 const WORKERS_SHARE = 7 / 8;
 
 /**
- * Allocates the sockets. A shard's owner needs an inbound connection from each of its machines, and outbound connections
- * reduce the sockets for these. So commands use few connections, and idle ones are closed as workers connect.
+ * Allocates the sockets. A shard's owner needs an inbound connection from each of its machines. Outbound connections
+ * leave fewer sockets for these, so commands use few of them, and idle ones are closed as workers connect.
  */
 export function allocateSockets(fileLimit: number, peers: number): SocketShares {
   const commands = Math.floor(fileLimit * COMMANDS_SHARE);
@@ -49,9 +49,9 @@
 }
 
 /**
- * The number of outbound connections that may be idle now: the fixed number, and the part of the workers' share that open
- * inbound connections don't use. The rest of `inbound` stays free for connections to come. Opening a connection costs
- * several times as much as sending a command over it, so no more are closed than necessary (docs/PERFORMANCE.md).
+ * The number of outbound connections that may be idle now: `idle`, and the part of `workers` that open inbound
+ * connections don't use. The rest of `inbound` stays free for connections to come. Opening a connection costs several
+ * times as much as sending a command over it, so no more are closed than necessary (docs/PERFORMANCE.md).
  */
 export function maxIdleConnections({ idle, workers }: SocketShares, openInbound: number): number {
   return idle + Math.max(0, workers - openInbound);
--- a/src/base/state-limits.ts
+++ b/src/base/state-limits.ts
@@ -5,13 +5,13 @@
  * controller therefore applies the lower of the two from its start.
  */
 export interface StateLimits {
-  /** Requests a second, all controllers together. */
+  /** Maximum number of requests a second, for all controllers together. */
   rps: number;
-  /** Changes (puts and deletes) a second, all controllers together. */
+  /** Maximum number of changes (puts and deletes) a second, for all controllers together. */
   write_rps: number;
-  /** KiB of one value as JSON text. */
+  /** Maximum size of a value, in KiB of JSON text. */
   value_kb: number;
-  /** Changes of one transaction. */
+  /** Maximum number of changes in one transaction. */
   txn_ops: number;
 }
 
@@ -20,7 +20,7 @@
 const BYTES_PER_KB = 1024;
 /** The acquisition of a shard needs this many changes in one transaction. */
 const MIN_TRANSACTION_CHANGES = 3;
-/** The largest share of one second's changes in one transaction: one that needs all of them may wait forever. */
+/** Largest share of a second's changes that one transaction may need; one that needs all of them may wait forever. */
 const MAX_TRANSACTION_SHARE = 0.5;
 
 /** Reads a limit from the announcement; undefined when the field is invalid. */
@@ -47,7 +47,7 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value) && !(value instanceof Date);
 }
 
-/** Reads announced limits, skipping invalid ones; undefined when there is no table of them. */
+/** Reads announced limits, and skips invalid ones; undefined when the announcement is missing or not a table. */
 export function readNextLimits(announced: unknown): NextLimits | undefined {
   if (!isTable(announced)) return undefined;
   const next: NextLimits = { limits: {}, unusable: [] };
@@ -76,7 +76,7 @@
   return Buffer.byteLength(JSON.stringify(value));
 }
 
-/** The largest value in bytes of JSON text. */
+/** The maximum size of a value, in bytes of JSON text. */
 export function maxValueBytes({ value_kb }: StateLimits): number {
   return Math.floor(value_kb * BYTES_PER_KB);
 }
--- a/src/base/throttling.ts
+++ b/src/base/throttling.ts
@@ -2,21 +2,21 @@
 
 /**
  * Limits derived from a controller's share of a core: how long it computes at a time, and into how many shards the work
- * is split. Monotonic time passes while a process is throttled: with 6.8% of a core, a millisecond of computing takes
- * fifteen. A time budget that suffices with an eighth of a core would then be used up before any work is done.
+ * is split. Monotonic time passes while a process is throttled: with 6.8% of a core, 1 ms of computing takes 15 ms. A
+ * time budget that suffices with an eighth of a core would then be used up before any work is done.
  */
 export interface Throttling {
   /** Number of shards into which teams and machines are split, unless the operators set it. */
   readonly shards: number;
   /** Monotonic time that a placement round may take, unless the operators set it. */
   readonly roundBudgetMs: number;
-  /** The longest pause after a placement round; rounds get a quarter of the time. */
+  /** The longest pause after a placement round. Up to this limit, a pause is three times as long as the round. */
   readonly roundPauseMs: number;
-  /** Shortest interval between two watch requests. Peers' change notifications and own writes are applied sooner. */
+  /** Shortest interval between two watch requests. Peers' change notifications and own writes don't wait for it. */
   readonly watchPaceMs: number;
 }
 
-/** From this share of a core on, nothing is throttled: owners of about 200 and 1,000 machines kept up with it. */
+/** With this share of a core or more, nothing is throttled: owners of about 200 and 1,000 machines kept up with it. */
 const UNTHROTTLED_CPU = 1 / 8;
 const BASE_ROUND_BUDGET_MS = 40;
 const BASE_ROUND_PAUSE_MS = 200;
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -28,15 +28,15 @@
 const INITIALIZATION_POLL_MS = 10;
 const MS_PER_S = 1_000;
 
-/** The parts of the process that the steps of its start share. */
+/** The settings and services that the steps of starting the process share. */
 interface Service {
   readonly settings: Settings;
   readonly log: Log;
   /** Never aborted: a controller serves until its process is killed. */
   readonly signal: AbortSignal;
-  /** Incoming connections. */
+  /** The inbound connections, with their limits. */
   readonly connections: Connections;
-  /** For calls to workers. */
+  /** The HTTP client for calls to workers. */
   readonly workers: HttpClient;
   readonly peers: readonly PeerSender[];
 }
@@ -148,7 +148,7 @@
 }
 
 /**
- * Listens once the controller is initialized; before that it could only answer 'not now'. The workers of a failed owner
+ * Listens once the controller is initialized; before that it could only respond with 503. The workers of a failed owner
  * all connect at once, and retry every second. A closed port refuses them at no cost to this process, whereas answering
  * them kept a starting controller from ever becoming ready.
  */
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,7 +1,7 @@
 /**
- * @file Entry point: loads the program with the build's code cache. Without it, compiling took a third of each start, and
- * with a small CPU quota a start takes seconds (docs/PERFORMANCE.md). The cache holds only code, no state of the build. The
- * runtime rejects the cache of another version, of other sources or of other flags, and then compiles as usual.
+ * @file Entry point: loads the program with the build's code cache. Without the cache, compiling took a third of each
+ * start, and with a small CPU quota a start takes seconds (docs/PERFORMANCE.md). The cache contains only code, no state of
+ * the build. The runtime rejects a cache of another version, other sources or other flags, and then compiles as usual.
  */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { createRequire, wrap } from 'node:module';
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,4 +1,4 @@
-/** @file The cloud's interface: machine types, and machines that are rented, listed and deleted. */
+/** @file The client of the cloud: lists machine types, and rents, lists and deletes machines. */
 import * as z from 'zod';
 import { NoResponseError, type HttpCaller, type HttpResponse } from '../transport/http-client';
 import type { RateLimit } from '../transport/rate-limit';
@@ -33,11 +33,11 @@
 const createdSchema = z.object({ hearths: z.array(machineName) });
 const machineListSchema = z.object({ hearths: z.array(listedMachineSchema), hasNext: z.boolean() });
 
-/** Machines in one page of the list. */
+/** Maximum number of machines in one page of the list. */
 export const MACHINES_PER_PAGE = 500;
-/** Machines that one request may delete. */
+/** Maximum number of machines that one request may delete. */
 export const MAX_MACHINES_PER_DELETE = 100;
-/** Machines that one request may rent. */
+/** Maximum number of machines that one request may rent. */
 export const MAX_MACHINES_PER_CREATE = 50;
 
 const STATUS_TOO_MANY_REQUESTS = 429;
@@ -54,8 +54,8 @@
 }
 
 /**
- * Whether the caller still has authority, that is, a valid lease. Checked right before a request is sent: the lease may
- * expire while the request waits.
+ * Whether the caller still has authority, that is, a valid lease. Checked right before a request is sent, because the
+ * lease may expire while the request waits.
  */
 export type AuthorityCheck = () => boolean;
 
@@ -116,7 +116,7 @@
   };
 }
 
-/** The client of the cloud; stays within its rate limit. A malformed response is a `NoResponseError`. */
+/** The client of the cloud; stays within its rate limit, and throws `NoResponseError` for a malformed response. */
 export class Cloud {
   constructor(
     private readonly http: HttpCaller,
@@ -176,7 +176,7 @@
 
   async #call<T>({ method, path, body, schema, hasAuthority = () => true }: CloudRequest<T>): Promise<T> {
     await this.rateLimit.take();
-    // The process may have stalled meanwhile: an outdated deletion could terminate tasks that a new owner has placed.
+    // The process may have stalled, and its lease expired. A deletion could then terminate tasks that a new owner placed.
     if (!hasAuthority()) throw new AuthorityLostError(`cloud ${path}: not sent, authority has expired`);
     const response = await this.http.call(this.address, method, path, body, this.timeoutMs, hasAuthority);
     return readResponse(path, response, schema);
--- a/src/protocol/http-key-value-store.ts
+++ b/src/protocol/http-key-value-store.ts
@@ -43,7 +43,7 @@
 const STATUS_UNAVAILABLE = 503;
 
 const ENTRIES_PER_PAGE = 500;
-/** Requests that would wait longer for tokens are refused: users' requests must not queue up unnoticed. */
+/** Requests that would wait longer for tokens are refused, so that users' requests don't queue up unnoticed. */
 const MAX_TOKEN_WAIT_MS = 1_000;
 
 /** The connection, the limits and the timeout of the client. */
@@ -75,7 +75,7 @@
     await this.options.requests.take(1, MAX_TOKEN_WAIT_MS);
     const response = await this.#call('GET', `/store/${key}`, undefined);
     if (response.status === STATUS_NOT_FOUND) {
-      // Requires the store's own body: any other 404 would make an accepted job appear unknown.
+      // Checks that the store itself responded: any other 404 would make an accepted job appear unknown.
       parseBody(response.body, notFoundSchema);
       return null;
     }
@@ -145,8 +145,8 @@
   }
 
   /**
-   * Undefined when the response, whose size is not bounded, exceeds the client's limit. A retry would get an even larger
-   * response, and the controller would never receive another change.
+   * Requests changes. Returns undefined when the response exceeds the client's size limit; the store sets none. A retry
+   * would get an even larger response, so the controller would never receive another change.
    */
   async #callForChanges(path: string, timeoutMs: number): Promise<HttpResponse | undefined> {
     try {
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -35,18 +35,18 @@
   id: string;
   /** The class of jobs that it belongs to; service-level objectives are stated by class. */
   jobClass: string;
-  /** The team whose guaranteed share and quota apply. */
+  /** The team whose guaranteed share and quota apply to the job. */
   team: string;
   priority: Priority;
-  /** How many tasks the array has; they are numbered from 0. */
+  /** Number of tasks in the array; they are numbered from 0. */
   tasks: number;
   /** The allowed machine types; null: any. */
   types: string[] | null;
   /** The only allowed zone; null: any. */
   zone: string | null;
-  /** All tasks must be in the same zone. */
+  /** Whether all tasks must be in the same zone. */
   oneZone: boolean;
-  /** At most half of the tasks, rounded up, may be in one zone. */
+  /** Whether at most half of the tasks, rounded up, may be in one zone. */
   spread: boolean;
   /** Whether its tasks may run on spot machines. */
   spot: boolean;
@@ -61,7 +61,7 @@
   saveS: number;
   /** Time from submission until the job should be complete; null: no deadline. */
   deadlineS: number | null;
-  /** Jobs that have to be done before any task of this one starts; absent where there are none. */
+  /** Ids of the jobs that must be done before any task of this job starts; absent if there are none. */
   dependencies?: readonly string[];
 }
 
@@ -95,15 +95,15 @@
   done: number;
   /** Number of running tasks. */
   running: number;
-  /** Dependencies that are not done yet; absent where there are none. */
+  /** Ids of the dependencies that are not done yet; absent if there are none. */
   unfinishedDependencies?: readonly string[];
 }
 
 /** The execution phase of an attempt on its machine. */
 export type AttemptPhase = 'fetching' | 'running' | 'checkpointing' | 'exited';
 /**
- * Why an attempt exited. The last three are refused starts: not enough free resources, another attempt of the same task
- * is on the machine, and no such job or task.
+ * Why an attempt exited. The last three mean that the worker refused the start command: too few free resources, another
+ * attempt of the same task is on the machine, or no such job or task.
  */
 export type ExitCause = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown';
 
@@ -145,7 +145,7 @@
  */
 export type WorkerCommand =
   | { op: 'start'; job: string; task: number; attempt: number }
-  /** With `graceS` of at least the job's `saveS`, the task writes a checkpoint before it exits. */
+  /** If `graceS` is at least the job's `saveS`, the task writes a checkpoint before it exits. */
   | { op: 'stop'; job: string; task: number; attempt: number; graceS: number }
   | { op: 'forget'; job: string; task: number; attempt: number };
 
@@ -158,7 +158,7 @@
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
-  /** Time since the machine was rented, at the time that the list describes. */
+  /** Time from the rental of the machine to the time that the list describes. */
   ageS: number;
 }
 
--- a/src/protocol/peer-view.ts
+++ b/src/protocol/peer-view.ts
@@ -17,7 +17,7 @@
   readonly node: string;
   readonly status: PeerStatus;
   readonly reason: PeerReason;
-  /** For how long the peer has had this status at the sender, in milliseconds. */
+  /** Time for which the sender has assigned this status to the peer, in milliseconds. */
   readonly forMs: number;
   /** The session and incarnation of the peer to which the opinion refers. */
   readonly run: number;
@@ -40,7 +40,7 @@
 const MAX_NAME_LENGTH = 256;
 const count = z.number().min(0).max(Number.MAX_SAFE_INTEGER);
 
-/** The schema of an index of the list. */
+/** A schema for indices into the list. */
 function indexOf(list: readonly string[]): z.ZodInt {
   return z
     .int()
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -15,7 +15,7 @@
   done: number;
 }
 
-/** The owner of a shard that can't reach the key-value store asks its peers to extend its lease. */
+/** A shard owner that can't reach the key-value store asks its peers to extend its lease. */
 export interface LeaseExtensionRequest {
   from: string;
   /** The sequence number of the request at its sender. */
@@ -25,8 +25,8 @@
 }
 
 /**
- * The sender won't acquire a shard until the extension ends. It lists jobs that ended by revisions which the requester may
- * not have seen.
+ * The sender grants a request: it acquires no shard until the extension ends. It lists the jobs whose end the requester
+ * may not have received.
  */
 export interface LeaseExtensionGrant {
   from: string;
@@ -42,7 +42,7 @@
   /** Whether the sender's watch cache is up to date. */
   isViewFresh: boolean;
   jobs: JobProgress[];
-  /** Shards of the sender most of whose workers can't reach it. */
+  /** The sender's shards of which most workers can't reach the sender. */
   unreachableShards: number[];
   /** For each shard of another owner, how many of its machines recently sent heartbeats to the sender. */
   redirected: { shard: number; machines: number }[];
--- a/src/protocol/users.ts
+++ b/src/protocol/users.ts
@@ -53,7 +53,7 @@
 /** The result of reading a submission. */
 export type Submission =
   | { readonly kind: 'valid'; readonly job: Job }
-  /** Only its list of dependencies is invalid: harmless if the job was accepted before. */
+  /** Only the list of dependencies is invalid, which is harmless if the job was accepted before. */
   | { readonly kind: 'invalid dependencies'; readonly id: string; readonly error: string }
   | { readonly kind: 'invalid'; readonly error: string };
 
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -61,7 +61,7 @@
   };
 }
 
-/** Reads a decoded heartbeat; undefined when any part is malformed, so that it changes no table. */
+/** Reads a decoded heartbeat; undefined when any part is malformed, so that no part of it is applied. */
 export function parseHeartbeat(value: unknown): WorkerHeartbeat | undefined {
   const parsed = heartbeatSchema.safeParse(value);
   if (!parsed.success) return undefined;
@@ -108,7 +108,7 @@
   return { baton: fencingToken, orders: writeCommands(commands) };
 }
 
-/** The body of a response that redirects the worker to the owner of its shard, or to any other controller. */
+/** The body of a response that redirects a worker to the owner of its shard, or without `owner` to any controller. */
 export function writeRedirect(owner: string | undefined): Record<string, unknown> {
   return owner === undefined ? {} : { foreman: owner };
 }
--- a/src/suspicion/heartbeat-intervals.ts
+++ b/src/suspicion/heartbeat-intervals.ts
@@ -8,7 +8,7 @@
 const INTERVALS_PER_GENERATION = 256;
 /** Minimum number of intervals from which their distribution is estimated. */
 const MIN_INTERVALS = 8;
-/** Longer intervals are truncated: an outage says nothing about the regularity of heartbeats. */
+/** Longer intervals are truncated to this, because an outage says nothing about the regularity of heartbeats. */
 const MAX_INTERVAL_MS = 5_000;
 const MEDIAN_QUANTILE = 0.5;
 const TAIL_QUANTILE = 0.95;
@@ -16,9 +16,9 @@
 const TAIL_DEVIATIONS = 1.645;
 
 /**
- * Keeps two generations of intervals, the current and the previous one, so that older intervals are forgotten. Each is
- * a sketch rather than a list of samples, since a sketch's size doesn't depend on the number of intervals. Its
- * quantiles, unlike mean and variance, are hardly affected by a single outlier.
+ * Estimates the distribution of heartbeat intervals. Keeps only the current and the previous generation of intervals, so
+ * that older ones are forgotten. Each generation is a sketch rather than a list, since a sketch's size doesn't depend on
+ * the number of intervals. A sketch's quantiles, unlike mean and variance, are hardly affected by a single outlier.
  */
 export class HeartbeatIntervals {
   #current = newSketch();
--- a/src/suspicion/majority-suspicion.ts
+++ b/src/suspicion/majority-suspicion.ts
@@ -1,4 +1,4 @@
-/** @file Whether a majority suspects a controller. A pure function of the views in the controllers' heartbeats. */
+/** @file Decides whether a majority suspects a controller. A pure function of the views in the controllers' heartbeats. */
 import type { PeerView } from '../protocol/peer-view';
 import { isSuspect } from './peer-state';
 
@@ -9,8 +9,8 @@
 }
 
 /**
- * Whether more than half of all other controllers suspect this one. Controllers that are down, stalled, or of a version
- * without views have no vote, but still count in the total. So the only one that is up is no majority.
+ * Whether more than half of all other controllers suspect a controller. Those that are down, stalled, or of a version
+ * without views have no vote, but still count in the total. So a single controller that is up is no majority.
  */
 export function isSuspectedByMajority(
   { controller, sessionEpoch }: ControllerSession,
--- a/src/suspicion/move-limiter.ts
+++ b/src/suspicion/move-limiter.ts
@@ -10,7 +10,7 @@
  * owner is always assigned one.
  */
 export class MoveLimiter {
-  /** Steady times of the changes of owner within the window. */
+  /** Monotonic times of the changes of owner within the window. */
   #moves: number[] = [];
   readonly #movedAt = new Map<number, number>();
   readonly #owners = new Map<number, string>();
@@ -33,7 +33,7 @@
     return hasCooledDown && this.allowsAnyMove(now);
   }
 
-  /** Whether the limit per minute allows another move. No cooldown applies to a shard whose lease nobody holds. */
+  /** Whether the limit per minute allows another move. No cooldown: for shards whose lease no controller holds. */
   allowsAnyMove(now: number): boolean {
     return this.#moves.filter((at) => now - at < WINDOW_MS).length < this.movesPerMinute;
   }
--- a/src/suspicion/options.ts
+++ b/src/suspicion/options.ts
@@ -19,14 +19,14 @@
   phi_threshold: z.number().min(1).max(16).default(8),
   /** Lower bound on the estimated standard deviation of heartbeat intervals. */
   min_deviation_s: z.number().positive().max(5).default(0.2),
-  /** Silence after which a peer is suspected with `fixed`, or while too few of its heartbeats were received. */
+  /** Time without a heartbeat after which a peer is suspected by `fixed`, or by `phi` if it sent too few heartbeats. */
   timeout_s: z.number().min(MIN_TIMEOUT_S).max(60).default(2.5),
   /** Minimum length of a pause of this process that counts as a stall. */
   stall_s: z.number().positive().max(60).default(1.5),
-  /** Number of stalls within the window after which a controller hands its shards over. */
+  /** Number of stalls within `stall_window_s` after which a controller hands its shards over. */
   stalls: z.int().min(1).max(100).default(3),
   stall_window_s: z.number().positive().max(600).default(30),
-  /** A controller that receives its peers' heartbeats hands its shards over when most suspect it for this long. */
+  /** A controller hands its shards over after most peers, by their heartbeats, have suspected it for this long. */
   give_up_after_s: z.number().positive().max(60).default(3),
   /** Maximum number of shards that suspicion moves per minute. */
   moves_per_minute: z.int().min(0).max(60).default(4),
--- a/src/suspicion/peer-detector.ts
+++ b/src/suspicion/peer-detector.ts
@@ -6,18 +6,18 @@
 import { RunningClock } from './running-clock';
 import { assessSilence } from './silence';
 
-/** Shorter intervals are not recorded: the messages belong to one heartbeat, or were buffered together. */
+/** Shorter intervals are not recorded, since the messages belong to one heartbeat or were buffered together. */
 const MIN_HEARTBEAT_INTERVAL_MS = HEARTBEAT_INTERVAL_MS / 10;
 /** A view expires after this much running time without a heartbeat of its sender. */
 const MAX_VIEW_AGE_MS = 3 * HEARTBEAT_INTERVAL_MS;
 /**
- * Maximum age of a heartbeat that another controller received from the peer. Heartbeats are sent once a second, so by
- * then that controller would have reported the next one. Only heartbeats that it received itself count: otherwise two
- * controllers could keep confirming a failed peer to each other.
+ * A peer is not suspected while another controller reports a heartbeat of the peer that is no older than this. Peers
+ * send a heartbeat every second, so a newer one would have been reported by then. Only heartbeats that the controller
+ * received itself count, or else two controllers could keep confirming a failed peer to each other.
  */
 const MAX_INDIRECT_HEARTBEAT_AGE_MS = 2.5 * HEARTBEAT_INTERVAL_MS;
 
-/** The status of a peer changed. */
+/** A change of a peer's status. */
 export interface StatusChange {
   readonly peer: string;
   readonly before: PeerState;
@@ -30,7 +30,7 @@
   state: PeerState;
   readonly intervals: HeartbeatIntervals;
   view: PeerView | undefined;
-  /** Steady time of the latest heartbeat. */
+  /** Monotonic time of the latest heartbeat. */
   lastHeartbeatAt: number | undefined;
 }
 
@@ -48,9 +48,9 @@
 }
 
 /**
- * Observes only the peers that are named in the settings, so its memory is bounded. A suspicion gives no controller
- * authority over a shard. A peer counts as failed only when its session in the key-value store has ended, which the
- * detector records as `failed`.
+ * Detects failures of peers. It observes only those that the settings name, so its memory is bounded. A suspicion gives
+ * no controller authority over a shard. A peer's status becomes `failed` only when its session in the key-value store
+ * has ended.
  */
 export class PeerDetector {
   readonly #peers: ReadonlyMap<string, ObservedPeer>;
@@ -68,7 +68,7 @@
     this.#peers = new Map(peers.map((name) => [name, newPeer(name, startedAt)]));
   }
 
-  /** The clock in whose time silence is measured. */
+  /** The clock that measures the time without a heartbeat. */
   get runningClock(): RunningClock {
     return this.#runningClock;
   }
@@ -117,7 +117,7 @@
     this.#currentViews = undefined;
   }
 
-  /** Updates all peers at a steady time; `sessionOf` returns their sessions. Called every `TICK_INTERVAL_MS`. */
+  /** Updates all peers at the monotonic time `now`; `sessionOf` looks up a session. Called every `TICK_INTERVAL_MS`. */
   tick(now: number, sessionOf: (name: string) => SessionState): void {
     this.#runningClock.tick(now);
     this.#currentViews = undefined;
--- a/src/suspicion/peer-liveness.ts
+++ b/src/suspicion/peer-liveness.ts
@@ -1,4 +1,4 @@
-/** @file Whether heartbeats of a peer arrive, as relays, redirects and handovers need to know. */
+/** @file Detects that heartbeats of a peer don't arrive, for lease relays, redirects and handovers. */
 import type { Clock } from '../base/clock';
 import type { PeerHeartbeat } from '../protocol/peers';
 
@@ -13,7 +13,7 @@
   isUnresponsive(peer: string): boolean;
 }
 
-/** The detector that is used when suspicion is off: a fixed timeout on the steady clock. */
+/** The detector that is used when suspicion is off: a fixed timeout on the monotonic clock. */
 export class FixedTimeoutDetector implements PeerLiveness {
   readonly #lastHeartbeatAt = new Map<string, number>();
 
--- a/src/suspicion/peer-reachability.ts
+++ b/src/suspicion/peer-reachability.ts
@@ -1,11 +1,11 @@
-/** @file Which controllers are reachable for this controller and for the workers of their shards. */
+/** @file Tracks which controllers are reachable for this controller and for the workers of their shards. */
 import type { Clock } from '../base/clock';
 import type { PeerHeartbeat } from '../protocol/peers';
 import type { PeerLiveness } from './peer-liveness';
 
 /** A worker counts as redirected for this long after its last redirected heartbeat. */
 const REDIRECT_MEMORY_MS = 6_000;
-/** An owner hands over its shard when it receives no heartbeats from this share of its workers, while a peer does. */
+/** A shard is handed over if at least this share of its workers can't reach its owner, but enough reach peers. */
 const MIN_UNREACHABLE_SHARE = 0.7;
 /** Fewer unreachable machines than this don't indicate a fault of the controller. */
 const MIN_UNREACHABLE_MACHINES = 3;
@@ -41,17 +41,17 @@
     this.liveness.onHeartbeat(heartbeat);
   }
 
-  /** Steady time of the latest heartbeat of any peer. */
+  /** Monotonic time of the latest heartbeat of any peer. */
   get lastHeartbeatAt(): number {
     return this.#lastHeartbeatAt;
   }
 
-  /** Steady time of the latest heartbeat of a peer whose view of the key-value store was fresh. */
+  /** Monotonic time of the latest heartbeat of a peer whose watch cache was up to date. */
   get lastFreshHeartbeatAt(): number {
     return this.#lastFreshHeartbeatAt;
   }
 
-  /** Number of machines, by shard, whose heartbeats were redirected by this controller recently. */
+  /** For each shard of another owner, how many of its machines recently sent heartbeats to this controller. */
   redirectedMachineCounts(): { shard: number; machines: number }[] {
     const now = this.clock.now();
     const counts = new Map<number, number>();
--- a/src/suspicion/peer-state.ts
+++ b/src/suspicion/peer-state.ts
@@ -9,9 +9,9 @@
 export interface PeerState {
   readonly status: PeerStatus;
   readonly reason: PeerReason;
-  /** Steady time of the last change of status. */
+  /** Monotonic time of the last change of status. */
   readonly since: number;
-  /** The session of the last heartbeat: the revision at which its controller record was written; 0 if unknown. */
+  /** The session that the peer sent: the revision at which its controller record was written; 0 if unknown. */
   readonly sessionEpoch: number;
   /** Counter within a session, which the peer raises to refute a suspicion. */
   readonly incarnation: number;
@@ -95,7 +95,7 @@
   return hasElapsed ? withStatus(state, 'alive', 'none', now) : state;
 }
 
-/** The state after an observation at the steady time `now`. */
+/** The state after an observation at the monotonic time `now`. */
 export function applyObservation(
   state: PeerState,
   observation: PeerObservation,
@@ -118,7 +118,7 @@
   }
 }
 
-/** Whether the status makes the peer a suspect: other controllers are preferred as shard owners. */
+/** Whether the status makes the peer a suspect, so that other controllers are preferred as shard owners. */
 export function isSuspect(status: PeerStatus): boolean {
   return status === 'suspected' || status === 'failed';
 }
--- a/src/suspicion/phi.ts
+++ b/src/suspicion/phi.ts
@@ -1,4 +1,4 @@
-/** @file The phi accrual failure detector (Hayashibara and others): how unlikely a silence is, by earlier intervals. */
+/** @file Estimates from earlier intervals how unlikely a silence is: phi accrual detection (Hayashibara and others). */
 
 /** The normal distribution of heartbeat intervals, in milliseconds. */
 export interface IntervalDistribution {
@@ -8,7 +8,7 @@
 
 /** Number of standard deviations above the mean from which the continued fraction is used. */
 const TAIL_FROM = 1.5;
-/** Levels of the continued fraction; accurate to a thousandth beyond `TAIL_FROM`. */
+/** Levels of the continued fraction, which is then accurate to a thousandth beyond `TAIL_FROM`. */
 const LEVELS = 12;
 /** Coefficients of the logistic approximation of the normal distribution (Bowling and others, 2009). */
 const LINEAR = 1.5976;
--- a/src/suspicion/planned-handover.ts
+++ b/src/suspicion/planned-handover.ts
@@ -1,15 +1,15 @@
-/** @file When a controller hands its shards over before its lease expires. Pure functions. */
+/** @file Decides when a controller hands its shards over before its lease expires. Pure functions. */
 import type { SuspicionOptions } from './options';
 import type { Pause } from './running-clock';
 
 /** Why a controller hands its shards over. */
 export type PlannedHandoverReason = 'it stalls again and again' | 'most peers suspect it';
 
-/** A controller's observations of itself. Steady times in milliseconds. */
+/** A controller's observations of itself. Monotonic times in milliseconds. */
 export interface SelfObservation {
   /** The pauses within the window that count as stalls. */
   readonly stalls: readonly Pause[];
-  /** Steady time since which most peers have suspected the controller without interruption; undefined if they don't. */
+  /** Monotonic time since which most peers have suspected the controller without interruption; undefined if they don't. */
   readonly suspectedSince: number | undefined;
 }
 
--- a/src/suspicion/running-clock.ts
+++ b/src/suspicion/running-clock.ts
@@ -7,7 +7,7 @@
 /** Maximum number of pauses that are kept. */
 const MAX_PAUSES = 64;
 
-/** A period during which the process did not run. Steady times in milliseconds. */
+/** A period during which the process did not run. Monotonic times in milliseconds. */
 export interface Pause {
   readonly from: number;
   readonly to: number;
@@ -15,9 +15,9 @@
 
 /**
  * A clock that advances only while the process runs. A pause of the process is no evidence against a peer, since
- * messages that the peer sent meanwhile could not be read. After a pause of eight seconds, running time has advanced by
- * a single tick. In a process with a slow event loop it advances slowly, so that process takes longer to suspect others
- * (as with Lifeguard's local health, but without a multiplier that has to be configured).
+ * messages that the peer sent meanwhile could not be read. Even a pause of eight seconds advances running time by at
+ * most 1.5 tick intervals. In a process with a slow event loop, running time advances slowly, so the process takes
+ * longer to suspect its peers (as with Lifeguard's local health, but without a multiplier that has to be configured).
  */
 export class RunningClock {
   #lastTickAt: number;
@@ -28,7 +28,7 @@
     this.#lastTickAt = startedAt;
   }
 
-  /** Records that the process runs at this steady time. */
+  /** Records that the process runs at the monotonic time `now`. */
   tick(now: number): void {
     const elapsedMs = now - this.#lastTickAt;
     this.#runningMs += Math.min(elapsedMs, MAX_RUNNING_MS_PER_TICK);
@@ -44,7 +44,7 @@
     return this.#runningMs;
   }
 
-  /** The pauses of at least this length that ended after a steady time. */
+  /** The pauses of at least this length that ended after the monotonic time `since`. */
   pausesSince(since: number, atLeastMs: number): Pause[] {
     return this.#pauses.filter(({ from, to }) => to > since && to - from >= atLeastMs);
   }
--- a/src/suspicion/silence.ts
+++ b/src/suspicion/silence.ts
@@ -1,10 +1,10 @@
-/** @file Whether the time since a peer's last heartbeat, its silence, is suspicious. A pure function. */
+/** @file Decides whether the time since a peer's last heartbeat, its silence, is suspicious. A pure function. */
 import type { SuspicionOptions } from './options';
 import { phi, type IntervalDistribution } from './phi';
 
 /**
- * A peer is suspected after this multiple of the fixed timeout, however irregular its heartbeats were. A suspicion
- * after the expiry of the peer's lease, which declares it failed, would have no effect.
+ * With `phi`, a peer is suspected at the latest after this multiple of `timeout_s`, however irregular its heartbeats
+ * were, because a suspicion after the expiry of the peer's lease, which declares it failed, would have no effect.
  */
 const MAX_SILENCE_TIMEOUTS = 1.5;
 
--- a/src/suspicion/suspicion.ts
+++ b/src/suspicion/suspicion.ts
@@ -50,7 +50,7 @@
   #sessionEpoch = 0;
   /** Counter within a session, raised to refute a suspicion. */
   #incarnation = 0;
-  /** Steady time since which most peers have suspected this controller. */
+  /** Monotonic time since which most peers have suspected this controller. */
   #suspectedSince: number | undefined;
 
   constructor(
@@ -94,7 +94,7 @@
     if (view) this.#refute(view);
   }
 
-  /** Raises the incarnation above a suspected one; the next heartbeat sends it to the peers. */
+  /** Raises this controller's incarnation above the one that a peer suspects; the next heartbeat contains it. */
   #refute({ opinions }: PeerView): void {
     for (const { node, run, status, incarnation } of opinions) {
       const isAboutThis = node === this.context.controllerId && run >= this.#sessionEpoch;
@@ -129,7 +129,7 @@
     return rankCandidates(shard, assessed).map(({ controller }) => controller);
   }
 
-  /** Whether a controller, possibly this one, is suspected or stalled: others are preferred as shard owners. */
+  /** Whether a controller, possibly this one, is suspected or stalled, so that others are preferred as shard owners. */
   isSuspect(controller: string): boolean {
     if (this.#isSuspectedByMajority(controller)) return true;
     if (controller === this.context.controllerId) return this.#isStalled();
@@ -146,7 +146,7 @@
     return isSuspectedByMajority({ controller, sessionEpoch }, this.#detector.views, peers.length);
   }
 
-  /** Whether damping allows a shard to be assigned to another controller before the assigned one acquired its lease. */
+  /** Whether damping allows the assignment of a shard to change before the assigned owner has acquired its lease. */
   allowsReassignment(): boolean {
     return this.#moves.allowsAnyMove(this.context.clock.now());
   }
--- a/src/transport/bounded-agent.ts
+++ b/src/transport/bounded-agent.ts
@@ -13,11 +13,11 @@
 }
 
 /**
- * Keeps the most recently used idle connections, up to a limit: one to each machine of a large fleet could use up all
- * sockets.
+ * Keeps the most recently used idle connections open, up to a limit. Without the limit, idle connections to all
+ * machines of a large fleet could use up all sockets.
  */
 export class BoundedAgent extends Agent {
-  /** Idle connections, longest idle first; each with the listener that removes it from here when it closes. */
+  /** Idle connections, longest idle first; each with the listener that removes it from this map when it closes. */
   readonly #idle = new Map<Duplex, () => void>();
   readonly #maxIdle: () => number;
 
@@ -49,8 +49,8 @@
     const maxIdle = this.#maxIdle();
     for (const socket of this.#idle.keys()) {
       if (this.#idle.size <= maxIdle) return;
-      // Removed here, because the socket emits `close` only in a later event-loop turn. When many responses arrived in one
-      // turn, each call destroyed the same socket again, and idle connections grew far beyond the limit.
+      // Removed here, because the socket emits `close` only in a later event-loop turn. Otherwise, with many responses in
+      // one turn, each call destroyed the same socket again, and idle connections grew far beyond the limit.
       this.#removeIdle(socket);
       socket.destroy();
     }
--- a/src/transport/connections.ts
+++ b/src/transport/connections.ts
@@ -11,8 +11,8 @@
   /** The part of `all` that workers may use. */
   readonly workers: number;
   /**
-   * A worker that has sent no request for this long has failed, or sends its heartbeats to another controller; it may
-   * never close the connection itself.
+   * Idle time after which a worker's connection is closed. The worker has failed, or sends its heartbeats to another
+   * controller, and may never close the connection itself.
    */
   readonly workerIdleMs: number;
 }
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -171,7 +171,7 @@
     });
   }
 
-  /** Node writes the request only after the listeners of the connection event have run. */
+  /** Checks whether the request may be sent. Node writes it only after the listeners of the connection event have run. */
   #onConnected(): void {
     if (this.request.maySend()) this.#mayHaveExecuted = true;
     else this.#fail('not sent, no longer authorized');
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -36,13 +36,13 @@
   /** Initially empty; the server adds its inbound connections. */
   connections: Connections;
   encode(value: unknown): Uint8Array;
-  /** Called with an error that no route handled; the request is answered with 503. */
+  /** Called with an error that no route handled; the response is 503. */
   onError(error: unknown): void;
 }
 
 const EMPTY_BODY = new Uint8Array(0);
 const MESSAGE_PACK = 'application/msgpack';
-/** Connections stay open until one side says `Connection: close`; users poll every few seconds. */
+/** Idle connections stay open until this timeout or `Connection: close`, because users poll every few seconds. */
 const KEEP_ALIVE_TIMEOUT_MS = 180_000;
 const MAX_PARAMETER_LENGTH = 300;
 /** Time after which to retry a request whose connection exceeds the limit. */
@@ -68,7 +68,7 @@
 /** Passes each body on as raw bytes. */
 function setBodyParsers(server: FastifyInstance): void {
   server.removeAllContentTypeParsers();
-  // MessagePack is registered by name, too: for types that only the wildcard matches, every request's header is parsed.
+  // MessagePack is registered by name, too: otherwise the header of every request with that type would be parsed.
   for (const type of ['*', MESSAGE_PACK]) {
     server.addContentTypeParser(type, { parseAs: 'buffer' }, (_request, body, done) => {
       done(null, body);
@@ -102,8 +102,8 @@
   ) {}
 
   /**
-   * Most heartbeats are answered in the event-loop turn in which they arrive, without a promise: a thousand workers send
-   * hundreds a second.
+   * Most heartbeats get a response in the event-loop turn in which they arrive, without a promise, because a thousand
+   * workers send hundreds of heartbeats a second.
    */
   handle(request: FastifyRequest, reply: FastifyReply): void {
     const { socket } = request.raw;
--- a/src/transport/rate-limit.ts
+++ b/src/transport/rate-limit.ts
@@ -1,4 +1,4 @@
-/** @file A rate limiter. */
+/** @file A token-bucket rate limiter. */
 import type { Clock } from '../base/clock';
 
 const MS_PER_S = 1_000;
--- a/test/fakes/scripted-watch.ts
+++ b/test/fakes/scripted-watch.ts
@@ -12,7 +12,7 @@
 
   constructor() {
     const store = {
-      list: () => Promise.resolve({ entries: [], more: false, revision: this.revision }),
+      list: () => Promise.resolve({ entries: [], hasMore: false, revision: this.revision }),
       changes: () => Promise.resolve({ revision: this.revision, events: this.events }),
     };
     this.cache = new WatchCache({
