--- a/src/coordination/ownership/fencing-token-raiser.ts
+++ b/src/coordination/ownership/fencing-token-raiser.ts
@@ -24,7 +24,7 @@
     this.#raisedAt = context.clock.now();
   }
 
-  /** One step; to be run in a loop of its own, so that no scheduling round waits for the key-value store. */
+  /** Raises the token if needed. Run in a loop of its own, so that no scheduling round waits for the store. */
   async step(signal: AbortSignal): Promise<void> {
     await this.context.clock.sleep(CHECK_INTERVAL_MS, signal);
     const now = this.context.clock.now();
--- a/src/coordination/ownership/heartbeat-messages.ts
+++ b/src/coordination/ownership/heartbeat-messages.ts
@@ -4,7 +4,7 @@
 /** Maximum number of jobs in one message, which keeps it well below the frame size limit of peers. */
 export const JOBS_PER_MESSAGE = 2_000;
 
-/** The messages for any number of jobs. Without jobs it is one message, because peers need the heartbeat itself. */
+/** Splits the heartbeat into messages. Without jobs it is one message, because peers need the heartbeat itself. */
 export function heartbeatMessages(
   state: Omit<PeerHeartbeat, 'jobs'>,
   jobs: readonly JobProgress[],
--- a/src/coordination/ownership/leader.ts
+++ b/src/coordination/ownership/leader.ts
@@ -17,7 +17,7 @@
   readonly #machineAdoption: MachineAdoption;
   readonly #garbageCollector: RecordGarbageCollector;
 
-  /** `mayBeBoundByGrant`: whether a lease extension that a previous process of this controller granted may be valid. */
+  /** `mayBeBoundByGrant`: whether a lease extension that a previous process granted may still be valid. */
   constructor(
     private readonly context: ControllerContext,
     cloud: CloudInventory,
@@ -44,7 +44,7 @@
     return this.isLeader ? { key: KEY.leader, version: this.context.cache.version(KEY.leader) } : undefined;
   }
 
-  /** One step; to be run in a loop, and whenever membership changes. */
+  /** Takes part in the election; if elected, performs the leader's duties. Run in a loop and on membership changes. */
   async step(): Promise<void> {
     const { cache, store, session, controllerId } = this.context;
     if (!cache.isLoaded || !session.isValid || session.lease === undefined) return;
--- a/src/coordination/ownership/lease-extension.ts
+++ b/src/coordination/ownership/lease-extension.ts
@@ -9,7 +9,7 @@
 /** The requester stops using a grant this long before it ends. */
 const SAFETY_MARGIN_MS = 400;
 const REQUEST_INTERVAL_MS = 400;
-/** A late grant is accepted for this many of the latest requests. */
+/** Number of latest requests for which a late grant is accepted. */
 const REMEMBERED_REQUESTS = 10;
 
 /**
@@ -22,9 +22,9 @@
  * grants of all peers: one peer that doesn't respond, or that can reach the key-value store, is enough to stop it.
  */
 export class LeaseExtension {
-  /** Send times of the latest requests, by request number. */
+  /** Monotonic send times of the latest requests, by request number. */
   readonly #requestedAt = new Map<number, number>();
-  /** For each peer, the send time of the latest request that it granted. */
+  /** Monotonic send time of the latest request that a peer granted, by the peer's id. */
   readonly #grantedRequestAt = new Map<string, number>();
   #requestNumber = 0;
   /** Whether this controller may have an acquisition in progress. */
@@ -47,17 +47,17 @@
     return this.context.clock.now() > this.#acquisitionForbiddenUntil;
   }
 
-  /** Until `endAcquisition` this controller may acquire a shard, so it grants no request. */
+  /** Stops granting requests until `endAcquisition`, because this controller may acquire a shard meanwhile. */
   beginAcquisition(): void {
     this.#isAcquiring = true;
   }
 
-  /** This controller acquires no shard at present. */
+  /** Allows requests to be granted again, because the acquisition is no longer in progress. */
   endAcquisition(): void {
     this.#isAcquiring = false;
   }
 
-  /** One step of the requesting side; to be run in a loop. */
+  /** Sends a request to all peers if the session is near its expiry and the store is unavailable. Run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
     const { clock, session, store, controllerId, cache } = this.context;
     await clock.sleep(REQUEST_INTERVAL_MS, signal);
@@ -117,7 +117,7 @@
     return oldest + LEASE_EXTENSION_MS * (1 - MAX_CLOCK_DRIFT) - SAFETY_MARGIN_MS;
   }
 
-  /** Whether a shard is assigned to the controller but not leased by it. The controller may not know that yet. */
+  /** Whether a shard is assigned to the controller but not leased by it, which the controller may not know yet. */
   #hasLostShard(controller: string): boolean {
     const { cache, settings } = this.context;
     for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
--- a/src/coordination/ownership/lease-relay.ts
+++ b/src/coordination/ownership/lease-relay.ts
@@ -40,8 +40,8 @@
  */
 export class LeaseRelay {
   /**
-   * For each shard with an acknowledged relay record of this controller, the lease that the record is bound to. An
-   * entry of an earlier lease doesn't count, because its record ended with that lease, even if no step has run since.
+   * The session lease to which this controller's acknowledged relay record is bound, by shard number. An entry with an
+   * earlier lease may remain until a later step. It is ignored, because the store deleted the record with that lease.
    */
   readonly #relayed = new Map<number, number>();
   /** Monotonic time when a relay was last needed, by shard. */
@@ -55,7 +55,7 @@
     this.#startedAt = context.clock.now();
   }
 
-  /** One step: writes or deletes relay records. To be run in a loop, and when a peer may have become unreachable. */
+  /** Writes or deletes relay records as needed. Run in a loop, and when a peer may have become unreachable. */
   async step(): Promise<void> {
     const { cache, session, settings, clock } = this.context;
     const { lease: ownLease } = session;
@@ -79,8 +79,9 @@
     const { cache, controllerId } = this.context;
     const lease = read.lease(cache.get(KEY.lease(shard))?.value);
     if (lease === undefined || lease.owner === controllerId) return false;
-    // A controller that just started has received no peer's heartbeat yet. If it relayed for that reason, leases of
-    // unresponsive workers would count as renewed, and after a failover the shard would wait again for their expiry.
+    // A controller that just started has received no heartbeats yet, so all peers seem unreachable. If it relayed their
+    // shards, leases of unresponsive workers would count as renewed. After a failover, the new owner would then have to
+    // wait again for the expiry of these leases.
     const isStartupOver = now - this.#startedAt > PEER_TIMEOUT_MS;
     if (isStartupOver && !this.reachability.isReachable(lease.owner, shard))
       this.#lastNeededAt.set(shard, now);
@@ -99,7 +100,7 @@
 
   async #deleteRecord(shard: number): Promise<void> {
     const key = this.#key(shard);
-    // Responses stop before the record is deleted, because the owner may declare unresponsive workers dead after that.
+    // Stops responding before it deletes the record: after that, the owner may declare unresponsive workers dead.
     this.#relayed.delete(shard);
     await this.context.store.compareAndSwap(
       [{ key, version: this.context.cache.version(key) }],
@@ -113,10 +114,10 @@
   }
 
   /**
-   * The response to a worker's heartbeat if this controller relays its shard and the machine has attempts. A session
-   * that is valid only by a lease extension is not enough: during an outage of the key-value store no controller can
-   * raise the fencing token. If the relay responded, a delayed start command of the owner could still be executed after
-   * the partition, although its job was cancelled long ago.
+   * Returns the response to a worker's heartbeat if this controller relays its shard and the machine has attempts. A
+   * session that is valid only by a lease extension is not enough: during an outage of the key-value store no
+   * controller can raise the fencing token. If the relay responded, a delayed start command of the owner could still be
+   * executed after the partition, although its job was cancelled long ago.
    */
   respond(heartbeat: WorkerHeartbeat, shard: number): RelayResponse | undefined {
     const { cache, session, controllerId } = this.context;
--- a/src/coordination/ownership/machine-adoption.ts
+++ b/src/coordination/ownership/machine-adoption.ts
@@ -25,7 +25,7 @@
     private readonly cloud: CloudInventory,
   ) {}
 
-  /** One step of the leader. */
+  /** Adopts machines without a record, up to the limit for one transaction. Run by the leader. */
   async step(): Promise<void> {
     const { store, clock, log, publish } = this.context;
     const unrecorded = this.#unrecordedMachines();
--- a/src/coordination/ownership/record-garbage-collector.ts
+++ b/src/coordination/ownership/record-garbage-collector.ts
@@ -10,7 +10,7 @@
 
 /**
  * Minimum time that a dependency part is seen without its job before it is deleted. Parts are written before their job
- * is accepted, and a user repeats a submission for a minute. A part without a job after that belongs to none.
+ * is accepted, and a user repeats a submission for a minute. A part that has no job after this time never gets one.
  */
 const MIN_ORPHAN_PART_AGE_MS = 120_000;
 
@@ -27,8 +27,8 @@
 
 /**
  * Finds orphan records in the watch cache, and deletes them. A cancellation leaves the job's completion records behind.
- * So does the final write of a job if an earlier completion write got no response, because its writer doesn't know that
- * the earlier record exists. Once the job's record is gone, nothing else would ever delete them.
+ * The final write of a job leaves a completion record behind if the write of that record got no response, because the
+ * owner doesn't know that it exists. Once the job's record is gone, nothing else would ever delete these records.
  */
 export class RecordGarbageCollector {
   /** Monotonic time at which a dependency part was first seen without its job, by the part's key. */
@@ -36,7 +36,7 @@
 
   constructor(private readonly context: GarbageCollectorContext) {}
 
-  /** One step of the leader: deletes as many orphans as fit into one transaction. */
+  /** Deletes as many orphans as fit into one transaction. Run by the leader. */
   async step(): Promise<void> {
     const { store, settings } = this.context;
     const maxDeletions = maxChangesPerTransaction(settings.platform.deployment.state, MAX_DELETIONS);
@@ -52,7 +52,7 @@
     );
   }
 
-  /** Records that may be deleted, provided that their jobs are not live in the key-value store either. */
+  /** Returns the records that may be deleted, provided that their jobs are not live in the key-value store either. */
   orphans(): OrphanRecord[] {
     return [...this.#orphanCompletions(), ...this.#orphanDependencyParts()];
   }
--- a/src/coordination/ownership/shard-acquisition.ts
+++ b/src/coordination/ownership/shard-acquisition.ts
@@ -41,7 +41,7 @@
     return this.#owners;
   }
 
-  /** One step: releases shards assigned to others, hands shards over, and acquires shards. To be run in a loop. */
+  /** Releases shards assigned to others, hands shards over, and acquires assigned shards. Run in a loop. */
   async step(): Promise<void> {
     this.leaseExtension.beginAcquisition();
     try {
@@ -104,7 +104,7 @@
     await this.context.store.compareAndSwap([{ key, version }], [{ delete: key }], 'urgent');
   }
 
-  /** Begins the trace of a handover when this controller is assigned the shard, and abandons it when another is. */
+  /** Begins the trace of a handover when the shard is assigned to this controller, else abandons an existing trace. */
   #traceAssignment(shard: number, isAssigned: boolean): void {
     if (!this.context.suspicion) return;
     if (!isAssigned) {
@@ -173,8 +173,8 @@
 
   /**
    * Whether this controller may acquire the shard. Lease extensions that it, or a previous process of it, may have
-   * granted forbid this for some time. They can't concern a shard that this controller held last, or any shard if none
-   * was ever held. Such a shard is acquired at once, because its workers' leases are running out.
+   * granted forbid this for some time. They can't concern a shard that this controller held last, nor any shard while
+   * no controller has ever held one. Such a shard is acquired at once, because its workers' leases are running out.
    */
   #mayAcquire({ holder }: ShardRecord): boolean {
     const { cache, controllerId } = this.context;
--- a/src/coordination/ownership/shard-assignment.ts
+++ b/src/coordination/ownership/shard-assignment.ts
@@ -26,7 +26,7 @@
     private readonly mayBeBoundByGrant: () => boolean,
   ) {}
 
-  /** One step of the leader. */
+  /** Assigns one shard to its last holder, or else all shards that need an owner, and rebalances. Run by the leader. */
   async step(): Promise<void> {
     const shardCounts = new Map(liveControllers(this.context).map((controller) => [controller, 0]));
     if (shardCounts.size === 0) return;
@@ -45,7 +45,7 @@
     await this.#rebalance(shardCounts);
   }
 
-  /** Adds the shards that keep their owner to `shardCounts`, and finds those to be assigned. */
+  /** Plans one step, and adds the shards that keep their owner to `shardCounts`. */
   #plan(shardCounts: Map<string, number>): AssignmentPlan {
     const { cache, settings } = this.context;
     const unassigned: number[] = [];
--- a/src/coordination/ownership/shard-handover.ts
+++ b/src/coordination/ownership/shard-handover.ts
@@ -7,7 +7,7 @@
 import { ownerCandidates, shardCountByController } from './owner-candidates';
 
 const DRAIN_POLL_MS = 20;
-/** How long a planned handover waits for the responses to commands in flight. */
+/** Maximum time that a planned handover waits for the responses to commands in flight. */
 const DRAIN_TIMEOUT_MS = 500;
 
 /**
--- a/src/coordination/shard/attempt-manager.ts
+++ b/src/coordination/shard/attempt-manager.ts
@@ -89,15 +89,16 @@
     this.evict(machine, attempt, 0);
   }
 
-  /** Attempts of ended jobs, with their machines, that were not confirmed gone within the eviction timeout. */
+  /** Finds attempts of ended jobs that were not confirmed gone within the eviction timeout, and their machines. */
   overdueEvictions(now: number): Iterable<[Attempt, Machine]> {
     return this.#endedJobAttempts.overdue(now);
   }
 
   /**
-   * Whether the worker may still execute a start command of a job for which the eviction timeout has passed. In an
-   * outage of the key-value store the fencing token can't be raised to prevent this. If its heartbeats then get no
-   * response, its lease expires within the time limit for cancellations, and its next incarnation rejects the command.
+   * Whether the worker may still execute a start command of a job that ended longer than the eviction timeout ago. In
+   * an outage of the key-value store the fencing token can't be raised to prevent this, so the worker's heartbeats get
+   * no response. Its lease then expires within the time limit for cancellations, and its next incarnation rejects the
+   * command.
    */
   hasUnconfirmedStartOfEndedJob(machine: Machine, now: number): boolean {
     return this.#endedJobAttempts.hasUnconfirmedStartOn(machine, now);
@@ -210,7 +211,7 @@
     this.apply(machine, changes);
   }
 
-  /** How many attempts of a job are running or writing a checkpoint. */
+  /** Number of attempts of a job that are running or writing a checkpoint. */
   runningCount(job: string): number {
     let running = 0;
     for (const [{ phase }] of this.shard.usage.attemptsOf(job)) {
--- a/src/coordination/shard/attempt.ts
+++ b/src/coordination/shard/attempt.ts
@@ -44,7 +44,7 @@
   imageGb: 0,
 };
 
-/** Describes the tasks of a job. For undefined, a job that the shard doesn't have, team and resources are empty. */
+/** Describes the tasks of a job. Team and resources are empty if the shard doesn't have the job (undefined). */
 export function describeTask(job: Job | undefined): TaskDescription {
   if (!job) return UNKNOWN_JOB;
   return { resources: job, team: job.team, image: job.image, imageGb: job.imageGb };
@@ -80,7 +80,7 @@
   readonly team: string;
   readonly image: string;
   readonly imageGb: number;
-  /** It was placed ahead of the queue order because its job had waited too long. It is not preempted. */
+  /** Whether it was placed ahead of the queue order because its job had waited too long; if so, it is not preempted. */
   readonly isBoosted: boolean;
   #phase: TrackedPhase = 'starting';
   #exitCause: ExitCause | null = null;
@@ -125,12 +125,12 @@
     return this.#isStartInFlight;
   }
 
-  /** Defined once the attempt is to be stopped; it has `graceS` seconds to save a checkpoint. */
+  /** The request to stop the attempt, with `graceS` seconds to save a checkpoint; undefined if there is none. */
   get eviction(): { readonly graceS: number } | undefined {
     return this.#eviction;
   }
 
-  /** Time at which the shard's owner learned that the attempt's job has ended. */
+  /** Monotonic time at which the shard's owner learned that the attempt's job has ended. */
   get jobEndedAt(): number | undefined {
     return this.#jobEndedAt;
   }
@@ -142,13 +142,13 @@
     if (reported.phase === 'running' || reported.phase === 'checkpointing') this.#runningSince ??= now;
   }
 
-  /** Its start command is being sent. */
+  /** Notes that its start command is being sent. */
   startCommandSent(): void {
     this.#wasStartSent = true;
     this.#isStartInFlight = true;
   }
 
-  /** Its start command got a response, or failed. */
+  /** Notes that its start command got a response, or failed. */
   startCommandEnded(): void {
     this.#isStartInFlight = false;
   }
--- a/src/coordination/shard/command-dispatcher.ts
+++ b/src/coordination/shard/command-dispatcher.ts
@@ -14,7 +14,7 @@
 /** Limit on commands in flight while the workers of a large fleet connect after a failover. */
 const MAX_IN_FLIGHT_WHILE_AWAITING_WORKERS = 8;
 
-/** `pending`: a request is sent only if it has commands. `probe`: always, for the worker's state in the response. */
+/** `pending`: sends a request only if there are commands. `probe`: always sends one, to get the worker's state. */
 type SendReason = 'pending' | 'probe';
 
 /** A command request in flight. */
@@ -53,7 +53,7 @@
     this.#maxInFlight = context.settings.sockets.commands;
   }
 
-  /** How many command requests are in flight. */
+  /** Number of command requests in flight. */
   get inFlightCount(): number {
     return this.#inFlight.size;
   }
--- a/src/coordination/shard/completion-recorder.ts
+++ b/src/coordination/shard/completion-recorder.ts
@@ -16,7 +16,7 @@
   leaseCondition(): Condition;
   /** Closes a job that has ended: it is done or cancelled. */
   closeJob(id: string): void;
-  /** Completions were recorded, so workers can be told to forget the completed attempts. */
+  /** Handles the recording of completions: workers can now be told to forget the completed attempts. */
   onCompletionsRecorded(): void;
 }
 
@@ -78,7 +78,7 @@
     private readonly completions: WakeSignal,
   ) {}
 
-  /** One step, to be run in a loop: waits for completions and writes a batch of them. */
+  /** Waits for completions and writes a batch of them. Run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
     const { clock } = this.context;
     await this.completions.wait(MAX_WAIT_MS);
@@ -167,7 +167,7 @@
     };
   }
 
-  /** The write of at most `maxRecords` completion records, those with the oldest unrecorded completions first. */
+  /** Builds a write of up to `maxRecords` completion records, those with the oldest unrecorded completions first. */
   #bitmapWrite(table: DispatchTable, maxRecords: number): JobWrite {
     const { job } = table;
     const { state } = this.context.settings.platform.deployment;
@@ -194,7 +194,7 @@
     };
   }
 
-  /** Returns false if a condition failed and nothing was written. */
+  /** Runs one transaction with all writes. Returns false if a condition failed and nothing was written. */
   async #write(writes: readonly JobWrite[]): Promise<boolean> {
     const result = await this.context.store.compareAndSwap(
       [this.shard.leaseCondition(), ...writes.flatMap(({ conditions }) => conditions)],
--- a/src/coordination/shard/dispatch-table.ts
+++ b/src/coordination/shard/dispatch-table.ts
@@ -38,7 +38,7 @@
   #retryAt = 0;
   #lastWriteAttemptAt = -Infinity;
   #unassigned: number;
-  /** Where `nextUnassigned` starts to search: no task below is unassigned. */
+  /** Where `nextUnassigned` starts to search: no task with a lower number is unassigned. */
   #searchFrom = 0;
 
   constructor(
@@ -57,8 +57,6 @@
     this.#unassigned = job.tasks;
   }
 
-  // The job.
-
   /** The job with its effective priority: the highest of its own and those of the jobs that depend on it. */
   get job(): Job {
     return this.#job;
@@ -87,8 +85,6 @@
     this.#waitingSince = Math.max(this.submittedAt, lastDependencyEndedAt);
   }
 
-  // Tasks.
-
   /** How many tasks are unassigned. */
   get unassigned(): number {
     return this.#unassigned;
@@ -153,14 +149,12 @@
     this.issued.delete(task);
   }
 
-  // Completion records.
-
-  /** Time of the last attempt to write the job's completions, successful or not. */
+  /** Monotonic time of the last write of the job's completions, successful or not. */
   get lastWriteAttemptAt(): number {
     return this.#lastWriteAttemptAt;
   }
 
-  /** A write of the job's completions begins. */
+  /** Notes that a write of the job's completions begins. */
   onWriteAttempt(now: number): void {
     this.#lastWriteAttemptAt = now;
   }
@@ -183,30 +177,31 @@
     }
   }
 
-  /** The encoded bitmap of a completion record. Contains the tasks that are already recorded, and the given tasks. */
+  /** Encodes the bitmap of a completion record, which contains the tasks already recorded and the given tasks. */
   encodeRecord({ first, end }: CompletionRecord, tasks: readonly number[]): string {
     return this.recorded.encode(first, end, tasks);
   }
 
-  // Failures.
-
-  /** No task of the job starts before this time. */
+  /** Monotonic time before which no task of the job is started. */
   get retryAt(): number {
     return this.#retryAt;
   }
 
-  /** Lets no further task of the job start before this time. */
+  /** Prevents tasks of the job from being started before this monotonic time. */
   pauseUntil(time: number): void {
     this.#retryAt = time;
   }
 
-  /** A task completed. */
+  /** Handles the completion of a task: clears the failures and ends the pause. */
   onTaskSucceeded(): void {
     this.#failures.clear();
     this.#retryAt = 0;
   }
 
-  /** A task failed. If none is done, failures on several machines cause growing pauses until the job is cancelled. */
+  /**
+   * Handles the failure of a task. While no task of the job is done and tasks failed on several machines, each failure
+   * pauses the job, each time longer up to a maximum. The job itself never fails: it is retried until it is cancelled.
+   */
   onTaskFailed(machine: string, now: number): void {
     this.#failures.add(machine, now);
     const pauseMs = this.#failures.pauseMs;
--- a/src/coordination/shard/ended-job-attempts.ts
+++ b/src/coordination/shard/ended-job-attempts.ts
@@ -15,7 +15,7 @@
     this.#machines.set(attempt, machine);
   }
 
-  /** The overdue attempts with their machines. Stops tracking the attempts that are gone. */
+  /** Yields the overdue attempts with their machines, and stops tracking the attempts that are gone. */
   *overdue(now: number): Iterable<[Attempt, Machine]> {
     for (const [attempt, machine] of this.#machines) {
       const isGone = attempt.phase === 'exited' || machine.attempts.get(attempt.key) !== attempt;
--- a/src/coordination/shard/heartbeat-handler.ts
+++ b/src/coordination/shard/heartbeat-handler.ts
@@ -82,12 +82,12 @@
 
   #answerUnverified(machine: Machine, heartbeat: WorkerHeartbeat): OwnerResponse {
     const count = machine.worker.unverifiedHeartbeatReceived(heartbeat.incarnation);
-    // The worker seems to receive no responses, so more heartbeats get none: each response counts as a renewal, and the
-    // lease would never count as expired.
+    // The worker seems to receive no responses, so further heartbeats get no response. Each response would count as a
+    // renewal, and the lease would never count as expired.
     if (!machine.isConfirmed && count > MAX_UNVERIFIED_HEARTBEATS) return UNDECIDED;
     machine.worker.heartbeatAnswered(this.context.clock.now());
     // The response renews the worker's lease, so it must stop attempts of cancelled jobs. A job may have been cancelled
-    // a lease ago already, and a worker that receives no later response would run its attempts for another lease.
+    // a lease duration ago, and a worker that receives no later response would run its attempts for another lease.
     return this.#accept(evictionsOfEndedJobs(heartbeat, this.context.cache));
   }
 
@@ -98,7 +98,7 @@
     if (isNew) machine.worker.leaseRenewed(now);
     if (this.#attempts.hasUnconfirmedStartOfEndedJob(machine, now)) return UNDECIDED;
     const commands = commandsFor(machine, this.shard.tables, 'without starts');
-    // The worker counts its lease from when it sent the heartbeat, so the lease expires there before it expires here.
+    // The worker counts its lease from when it sent the heartbeat, so it ends the lease before this owner does.
     machine.worker.heartbeatAnswered(now);
     return this.#accept(commands);
   }
--- a/src/coordination/shard/heartbeat-reconciler.ts
+++ b/src/coordination/shard/heartbeat-reconciler.ts
@@ -22,8 +22,8 @@
     const changes = machine.reconcile(heartbeat, now, leaseMs, (job) => this.attempts.describe(job));
     this.#checkFencingToken(machine, heartbeat);
     if (hadMissedHeartbeats) {
-      // An unreachable machine can't be used, so that time doesn't count as idle. When it did, hundreds of machines of
-      // a partitioned zone were released as soon as the partition ended, before pending tasks could be placed there.
+      // An unreachable machine can't be used, so its unreachable time doesn't count as idle. When it did, hundreds of
+      // machines of a partitioned zone were released when the partition ended, before pending tasks could use them.
       machine.restartIdleTime(now);
       shard.wake();
     }
--- a/src/coordination/shard/job-failures.ts
+++ b/src/coordination/shard/job-failures.ts
@@ -3,36 +3,36 @@
 const FIRST_PAUSE_MS = 2_000;
 const MAX_PAUSE_MS = 60_000;
 const MAX_DOUBLINGS = 10;
-/** A job has to fail on this many machines before it is retried with pauses. */
+/** Number of machines on which a job has to fail before it is retried with pauses. */
 const MACHINES_TO_PAUSE_JOB = 2;
 /** A job that failed on this many machines, and has no completed task, is assumed to be faulty itself. */
 const MACHINES_TO_BLAME_JOB = 3;
 /**
- * How long the job avoids a machine on which one of its tasks failed. The time is limited, because a job for which
- * there is no other machine would otherwise never continue.
+ * Time for which the job avoids a machine on which one of its tasks failed. The time is limited, because a job for
+ * which there is no other machine would otherwise never continue.
  */
 const AVOID_MACHINE_MS = 60_000;
 const NONE: ReadonlySet<string> = new Set();
 
 /** Tracks the failures of one job's tasks since its last success, which determine its pauses and machines to avoid. */
 export class JobFailures {
-  /** Time of the last failure of a task, by machine. */
+  /** Monotonic time of the last failure of a task, by machine id. */
   readonly #failedAt = new Map<string, number>();
   #count = 0;
 
-  /** A task failed on the machine. */
+  /** Records the failure of a task on the machine. */
   add(machine: string, now: number): void {
     this.#failedAt.set(machine, now);
     this.#count += 1;
   }
 
-  /** A task succeeded. */
+  /** Clears the failures after a task succeeded. */
   clear(): void {
     this.#failedAt.clear();
     this.#count = 0;
   }
 
-  /** The pause after the latest failure; 0 while all failures were on one machine, because it may be faulty. */
+  /** Pause after the latest failure; 0 while all failures were on one machine, because that machine may be faulty. */
   get pauseMs(): number {
     if (this.#failedAt.size < MACHINES_TO_PAUSE_JOB) return 0;
     const doublings = Math.min(this.#count - MACHINES_TO_PAUSE_JOB, MAX_DOUBLINGS);
--- a/src/coordination/shard/job-timing.ts
+++ b/src/coordination/shard/job-timing.ts
@@ -13,7 +13,7 @@
     private readonly runTimes: RunTimeEstimates,
   ) {}
 
-  /** How long the job has been waiting for machines. */
+  /** Time for which the job has been waiting for machines. */
   waitedMs(table: DispatchTable): number {
     return this.context.clock.date().getTime() - table.waitingSince;
   }
@@ -42,7 +42,7 @@
 
   /**
    * Wall-clock time by which a job should be done: the earlier of its own due time (deadline or objective of its class)
-   * and the latest finish time that lets its dependents meet theirs. Without either, a default applies.
+   * and the latest finish time that lets its dependents meet their due times. Without either, a default applies.
    */
   #dueAt(table: DispatchTable): number {
     const chainDueAt = this.context.chainUrgency.of(table.job.id)?.latestFinishAt;
--- a/src/coordination/shard/machine-attempts.ts
+++ b/src/coordination/shard/machine-attempts.ts
@@ -72,7 +72,7 @@
   }
 
   #dropUnreported(reportedKeys: ReadonlySet<string>, changes: AttemptChange[]): void {
-    // All reported attempts have been added by now, so equal sizes mean that no attempt is missing from the heartbeat.
+    // All reported attempts were added above, so equal sizes mean that no attempt is missing from the heartbeat.
     if (this.#attempts.size === reportedKeys.size) return;
     for (const attempt of [...this.#attempts.values()]) {
       if (reportedKeys.has(attempt.key) || this.worker.isStartUnconfirmed(attempt)) continue;
--- a/src/coordination/shard/machine-confirmation.ts
+++ b/src/coordination/shard/machine-confirmation.ts
@@ -36,7 +36,8 @@
   /**
    * Whether the shard was just acquired and the workers of a large fleet are still connecting. The event loop accepts
    * one connection per iteration: with rounds, probes and commands running meanwhile, workers could not connect for ten
-   * seconds and more, and lost their leases. So rounds and probes wait and few commands are sent until no more connect.
+   * seconds and more, and lost their leases. So rounds and probes wait, and few commands
+   * are sent, until no more workers connect.
    */
   isAwaitingWorkers(now: number): boolean {
     if (this.#unconfirmed.size <= MAX_UNCONFIRMED_WITHOUT_WAIT) return false;
--- a/src/coordination/shard/machine-registration.ts
+++ b/src/coordination/shard/machine-registration.ts
@@ -33,8 +33,9 @@
 }
 
 /**
- * Records machines as up. A machine's first heartbeat gets no response before that, so that after a failover the next
- * owner knows which machines may have tasks. Machines come up by the dozen, so their records are written in batches.
+ * Records machines as up. A machine's first heartbeat gets a response only after its record is written, so that
+ * after a failover the next owner knows which machines may have tasks. Machines come up by the dozen, so their records
+ * are written in batches.
  *
  * The key-value store's limit on changes allows only dozens of records a second, so a machine may come up before its
  * rental is recorded. In that case one write records both.
@@ -121,7 +122,7 @@
     const key = KEY.machine(id);
     const version = this.context.cache.version(key);
     const isRental = subject.kind === 'rental';
-    // A rental that has a record by now is in the shard already. A machine of the shard without a record was released
+    // A rental that already has a record is in the shard. A machine of the shard without a record was released
     // meanwhile: a write on the condition that no record exists would recreate it, as up. So neither is written.
     if (isRental ? version > 0 : version === 0) return undefined;
     const record = isRental ? subject.record : subject.machine.record;
--- a/src/coordination/shard/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -18,9 +18,9 @@
   readonly id: string;
   readonly record: MachineRecord;
   readonly type: MachineType;
-  /** Monotonic time when this owner first saw it. The previous owner may have responded to its worker until then. */
+  /** Monotonic time when this owner first saw the machine; an earlier owner may have answered its worker until then. */
   readonly firstSeenAt: number;
-  /** Monotonic time of its rental, or of its adoption if the leader adopted it. */
+  /** Monotonic time of the machine's rental, or of its adoption if the leader adopted it. */
   readonly rentedSince: number;
   readonly listener?: OccupancyListener;
 }
@@ -61,8 +61,6 @@
     this.#attempts = new MachineAttempts(this.worker, this.#resources, this.#images);
   }
 
-  // Worker.
-
   /** Monotonic time when this owner first saw it. */
   get firstSeenAt(): number {
     return this.worker.firstSeenAt;
@@ -93,7 +91,7 @@
     return this.worker.isConfirmed;
   }
 
-  /** Time at which the lease has certainly expired: by then the worker has killed and forgotten all its attempts. */
+  /** Monotonic time by which the lease has certainly expired and the worker has killed and forgotten its attempts. */
   leaseExpiresAt(leaseMs: number): number {
     return this.worker.leaseExpiresAt(leaseMs);
   }
@@ -108,8 +106,6 @@
     this.worker.assumeHeartbeatAnswered(now);
   }
 
-  // Attempts.
-
   /** The attempts on it by their keys, unconfirmed ones included. */
   get attempts(): ReadonlyMap<string, Attempt> {
     return this.#attempts.byKey;
@@ -179,19 +175,17 @@
     return changes;
   }
 
-  // Life cycle and use.
-
-  /** It is recorded as up. Only then do its worker's heartbeats get responses. */
+  /** Whether it is recorded as up; only then do its worker's heartbeats get responses. */
   get isUp(): boolean {
     return this.#isUp;
   }
 
-  /** Its worker has sent a heartbeat; until `isUp`, the write of its record is pending. */
+  /** Whether its worker has sent a heartbeat; until `isUp`, the write of its record is pending. */
   get hasSentHeartbeat(): boolean {
     return this.#hasSentHeartbeat;
   }
 
-  /** Time since when it has been idle, which scale-in checks. */
+  /** Monotonic time since which it has been idle; used by scale-in. */
   get idleSince(): number {
     return this.#idleSince;
   }
@@ -201,22 +195,22 @@
     return this.#spotNoticeDeadline;
   }
 
-  /** It gets no more tasks, because tasks fail here that succeed elsewhere. */
+  /** Whether it gets no more tasks, because tasks fail here that succeed elsewhere. */
   get isQuarantined(): boolean {
     return this.#isQuarantined;
   }
 
-  /** Defined once it gets no more tasks and is released as soon as possible. */
+  /** Reason why it gets no more tasks and is released as soon as possible; undefined while it is not drained. */
   get drainReason(): DrainReason | undefined {
     return this.#drainReason;
   }
 
-  /** Its release was requested from the cloud: it may disappear at any moment. */
+  /** Whether its release was requested from the cloud; if so, it may disappear at any moment. */
   get isReleaseRequested(): boolean {
     return this.#isReleaseRequested;
   }
 
-  /** The cloud confirmed its termination: delayed heartbeats of it must change nothing. */
+  /** Whether the cloud confirmed its termination; if so, delayed heartbeats of it must change nothing. */
   get isTerminated(): boolean {
     return this.#isTerminated;
   }
--- a/src/coordination/shard/probe-queue.ts
+++ b/src/coordination/shard/probe-queue.ts
@@ -16,7 +16,7 @@
  * workers may be sending heartbeats to other controllers, and unresponsive machines.
  */
 export class ProbeQueue {
-  /** In reverse order: the next machine is last. */
+  /** Machines still to be probed, in reverse order: the next one is last. */
   #machines: Machine[] = [];
   #filledAt = -Infinity;
   /** Machines probed since `#filledAt` whose probes are in flight. */
@@ -43,7 +43,7 @@
     this.#machines = [...due].sort((a, b) => b.worker.lastProbeAt - a.worker.lastProbeAt);
   }
 
-  /** The next machine to probe; undefined if there is none, or if `MAX_RECENT_PROBES` is reached. */
+  /** Returns the next machine to probe; undefined if there is none, or if `MAX_RECENT_PROBES` is reached. */
   next(now: number, commandsInFlight: ReadonlySet<Machine>): Machine | undefined {
     while (this.#recent.size < MAX_RECENT_PROBES) {
       const machine = this.#machines.pop();
@@ -57,7 +57,7 @@
     return undefined;
   }
 
-  /** A command to the machine, perhaps its probe, got a response or failed. */
+  /** Notes that a command to the machine, perhaps its probe, got a response or failed. */
   onCommandEnded(machine: Machine): void {
     this.#recent.delete(machine);
   }
--- a/src/coordination/shard/record-change-handler.ts
+++ b/src/coordination/shard/record-change-handler.ts
@@ -6,13 +6,13 @@
 import type { Machine } from './machine';
 import type { Shard } from './shard';
 
-/** Receives the effects of change events on the shard's owner. */
+/** The methods of the shard's owner that `RecordChangeHandler` calls. */
 export interface RecordChangeListener {
   /** Closes a job that has ended: it is done or cancelled. */
   closeJob(id: string): void;
-  /** The machine is terminated, and with it every attempt on it. */
+  /** Handles the termination of a machine, which ends every attempt on it. */
   onMachineTerminated(machine: Machine): void;
-  /** This owner no longer holds the shard's lease. */
+  /** Stops the owner, because it no longer holds the shard's lease. */
   stop(why: string): void;
 }
 
--- a/src/coordination/shard/relay-check.ts
+++ b/src/coordination/shard/relay-check.ts
@@ -22,7 +22,7 @@
     return this.#recordKeys().some((key) => this.context.cache.get(key) !== undefined);
   }
 
-  /** Whether the store contains no relay record. Waits until the watch cache includes all that were written before. */
+  /** Checks that the store contains no relay record, and waits until the watch cache includes all earlier changes. */
   async confirmNotRelayed(): Promise<boolean> {
     const { store, cache, clock } = this.context;
     const conditions = this.#recordKeys().map((key) => ({ key, version: 0 }));
--- a/src/coordination/shard/resource-usage.ts
+++ b/src/coordination/shard/resource-usage.ts
@@ -38,19 +38,19 @@
     return this.#zones.get(job) ?? NO_ZONES;
   }
 
-  /** Resources of each team's attempts; each counts from before its start command is sent until confirmed gone. */
+  /** Resources of each team's attempts. An attempt counts from its issue until it is confirmed gone. */
   byTeam(): Map<string, TeamUsage> {
     return new Map([...this.#teams].map(([team, { cpus, gpus }]) => [team, { cpus, gpus }]));
   }
 
-  /** An attempt begins to occupy resources of the machine. */
+  /** Adds an attempt that begins to occupy resources of the machine. */
   onOccupied(machine: Machine, attempt: Attempt): void {
     this.#count(machine, attempt, 1);
     const attempts = this.#jobs.get(attempt.job) ?? new Map<Attempt, Machine>();
     this.#jobs.set(attempt.job, attempts.set(attempt, machine));
   }
 
-  /** An attempt no longer occupies resources of the machine. */
+  /** Subtracts an attempt that no longer occupies resources of the machine. */
   onReleased(machine: Machine, attempt: Attempt): void {
     this.#count(machine, attempt, -1);
     const attempts = this.#jobs.get(attempt.job);
--- a/src/coordination/shard/round-loop.ts
+++ b/src/coordination/shard/round-loop.ts
@@ -52,7 +52,7 @@
     this.#handover?.abandon();
   }
 
-  /** One step; to be run in a loop. */
+  /** Waits for work, and runs a scheduling round. Run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
     const { clock } = this.context;
     await this.#wake.wait(TICK_MS);
--- a/src/coordination/shard/shard-owner.ts
+++ b/src/coordination/shard/shard-owner.ts
@@ -131,8 +131,6 @@
     );
   }
 
-  // State of the shard.
-
   /** The shard's number. */
   get shard(): number {
     return this.#shard.number;
@@ -196,9 +194,7 @@
     }));
   }
 
-  // Events.
-
-  /** A record changed in the key-value store. */
+  /** Applies the change of a record in the key-value store. */
   onChange(event: ChangeEvent): void {
     this.#records.onChange(event);
   }
@@ -208,7 +204,7 @@
     return this.#heartbeats.onHeartbeat(heartbeat);
   }
 
-  /** All dependencies of some jobs have completed. */
+  /** Requests a scheduling round, because all dependencies of some jobs have completed. */
   onJobsReady(): void {
     this.#wake.wake();
   }
@@ -218,12 +214,12 @@
     this.#attempts.closeJob(id);
   }
 
-  /** Completions were recorded, so workers can be told to forget the completed attempts. */
+  /** Handles the recording of completions: workers can now be told to forget the completed attempts. */
   onCompletionsRecorded(): void {
     this.#wake.wake();
   }
 
-  /** The cloud lists the machine as failed, though no controller terminated it. */
+  /** Drains a machine that the cloud lists as failed, though no controller terminated it. */
   onMachineFailed(id: string): void {
     const machine = this.machines.get(id);
     if (!machine || machine.drainReason === 'unresponsive') return;
@@ -231,7 +227,7 @@
     machine.drainAsUnresponsive();
   }
 
-  /** The cloud confirmed that the machine is terminated, and with it every attempt on it. */
+  /** Handles the termination of a machine, confirmed by the cloud, which ends every attempt on it. */
   onMachineTerminated(machine: Machine): void {
     machine.markTerminated();
     this.#commands.delete(machine);
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -39,7 +39,7 @@
 /** The state of a shard in its owner's memory: jobs with dispatch tables, machines with attempts, and its lease. */
 export class Shard {
   readonly number: number;
-  /** Raised during the ownership to invalidate commands without a response; see `FencingTokenRaiser`. */
+  /** The current fencing token; `FencingTokenRaiser` raises it to invalidate commands that got no response. */
   fencingToken: number;
   leaseVersion: number;
   readonly acquiredRevision: number;
@@ -93,8 +93,6 @@
     for (const entry of cache.under(PREFIX.machine)) this.loadMachine(entry.key, entry.value);
   }
 
-  // The shard lease.
-
   /** Whether the owner may act for the shard now: it is not stopped, and the controller's session is valid. */
   get entitled(): boolean {
     return !this.isStopped && this.context.session.isValid;
@@ -121,8 +119,6 @@
     return this.#relayCheck.confirmNotRelayed();
   }
 
-  // Jobs.
-
   /** Adds the job of this record, if it belongs to this shard and is not known yet. */
   loadJob(value: unknown, version: number): void {
     const record = read.job(value);
@@ -150,7 +146,7 @@
     table.setChainPriority(this.context.chainUrgency.of(table.job.id)?.priority);
   }
 
-  /** How long the job has been waiting for machines. */
+  /** Time for which the job has been waiting for machines. */
   waitedMs(table: DispatchTable): number {
     return this.#jobTiming.waitedMs(table);
   }
@@ -170,8 +166,6 @@
     return usageByTeam(this, this.context);
   }
 
-  // Machines.
-
   /** Adds the machine of this record, if it belongs to this shard and is not known yet. */
   loadMachine(key: string, value: unknown): void {
     const id = key.slice(PREFIX.machine.length);
@@ -197,7 +191,7 @@
     this.#confirmation.add(machine);
   }
 
-  /** Machines whose workers may still execute earlier owners' start commands, not having seen this owner's token. */
+  /** Machines whose workers may still execute earlier owners' start commands: they have not seen this owner's token. */
   get unconfirmedMachines(): ReadonlySet<Machine> {
     return this.#confirmation.unconfirmed;
   }
--- a/src/coordination/shard/team-usage.ts
+++ b/src/coordination/shard/team-usage.ts
@@ -8,7 +8,7 @@
 const NO_USAGE: TeamUsage = { cpus: 0, gpus: 0 };
 const UNLIMITED: TeamUsage = { cpus: Infinity, gpus: Infinity };
 
-/** Resources that each team's attempts occupy, plus an upper bound for attempts that are not known yet. */
+/** Computes the resources that each team's attempts occupy, plus an upper bound for attempts that are not known yet. */
 export function usageByTeam(shard: Shard, context: ControllerContext): Map<string, TeamUsage> {
   const usage = shard.usage.byTeam();
   if (shard.areAllMachinesConfirmed) return usage;
@@ -16,7 +16,7 @@
   const bounds = maxUnaccountedUsage(shard, context);
   for (const name of shard.teams.keys()) {
     const known = usage.get(name) ?? NO_USAGE;
-    // One team may use all unaccounted resources, but not more than its unaccounted tasks need.
+    // Any one team may be using all unaccounted resources, but no more than its unaccounted tasks need.
     const bound = bounds ? (bounds.get(name) ?? NO_USAGE) : UNLIMITED;
     usage.set(name, {
       cpus: known.cpus + Math.min(unaccounted.cpus, bound.cpus),
@@ -26,7 +26,7 @@
   return usage;
 }
 
-/** Resources of the machines that may run unknown attempts, or attempts whose team is unknown. */
+/** Sums the resources of the machines that may run unknown attempts, or attempts whose team is unknown. */
 function unaccountedResources(shard: Shard): TeamUsage {
   const machines = shard.usage.unattributedTasks > 0 ? shard.machines.values() : shard.unconfirmedMachines;
   let cpus = 0;
@@ -48,9 +48,10 @@
 }
 
 /**
- * Upper bound of each team's usage on unconfirmed machines: by unassigned tasks of jobs from before the shard was
- * acquired, and by tasks of recently ended jobs. Without this bound the unconfirmed machines of a partitioned zone
- * would use up every team's quota. Undefined if this controller has not watched long enough to know which jobs ended.
+ * Computes an upper bound of each team's usage on unconfirmed machines: the unassigned tasks of jobs from before the
+ * shard's acquisition, plus the tasks of recently ended jobs. Without this bound the unconfirmed machines of a
+ * partitioned zone would use up every team's quota. Undefined if this controller has not watched the records for long
+ * enough to know which jobs ended.
  */
 function maxUnaccountedUsage(shard: Shard, context: ControllerContext): Map<string, TeamUsage> | undefined {
   const bounds: Map<string, TeamUsage> | undefined = context.endedJobs.usageByTeam();
--- a/src/coordination/shard/worker-commands.ts
+++ b/src/coordination/shard/worker-commands.ts
@@ -10,8 +10,8 @@
 export type StartPolicy = 'with starts' | 'without starts';
 
 /**
- * The commands that bring the attempts on the machine to their desired state. Start commands are only sent in command
- * requests, never in the response to a heartbeat, because the response to a command request reports their results.
+ * Computes the commands that bring the attempts on the machine to their desired state. Start commands are sent only in
+ * command requests, never in responses to heartbeats, because the response to a command request reports their results.
  */
 export function commandsFor(
   machine: Machine,
@@ -45,7 +45,7 @@
   return attempt.wasStartSent ? undefined : 'start';
 }
 
-/** False for a completion that is not recorded yet: until then only the worker stores it, and must not forget it. */
+/** Whether the worker may forget the attempt's outcome: it must keep a completion until the store has recorded it. */
 function isOutcomeRecorded(attempt: Attempt, tables: ReadonlyMap<string, DispatchTable>): boolean {
   if (attempt.exitCause !== 'done') return true;
   const table = tables.get(attempt.job);
--- a/src/coordination/shard/worker-liveness.ts
+++ b/src/coordination/shard/worker-liveness.ts
@@ -105,7 +105,7 @@
     );
   }
 
-  /** Time at which the lease has certainly expired: by then the worker has killed and forgotten all its attempts. */
+  /** Monotonic time by which the lease has certainly expired and the worker has killed and forgotten its attempts. */
   leaseExpiresAt(leaseMs: number): number {
     return this.#latestLeaseStart + leaseMs * (1 + 2 * MAX_CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_MS;
   }
@@ -124,7 +124,7 @@
   mayReceiveStarts(now: number, leaseMs: number, missedMs: number): boolean {
     return (
       this.#isConfirmed &&
-      // Its heartbeats may arrive while commands don't reach it: an attempt would be stuck until its lease expires.
+      // Heartbeats may arrive although commands don't reach the worker: attempts would be stuck until lease expiry.
       this.#unresponsiveSince === undefined &&
       // A response to a command shows that the worker is reachable, but only responses to heartbeats renew its lease.
       // If the lease has expired by this owner's count, an attempt issued now would start and yet be dropped at once.
@@ -159,7 +159,7 @@
 
   /** Handles the first message of a new incarnation. */
   beginIncarnation(incarnation: number, now: number, leaseMs: number): void {
-    // The worker's lease was renewed not long ago and yet expired there, so it doesn't receive the responses.
+    // The lease expired on the worker although it was renewed recently, so the worker receives no responses.
     if (this.#incarnation > 0 && now - this.#lastRenewalAt < leaseMs / 2) this.#unresponsiveSince ??= now;
     this.#incarnation = incarnation;
     // An incarnation begins with a full lease, perhaps just now, even if none of its heartbeats got a response. If the
@@ -185,14 +185,14 @@
     return this.#unverifiedHeartbeats;
   }
 
-  /** A heartbeat, maybe a delayed duplicate, got a response, so the worker's attempts may run for a lease from now. */
+  /** Notes that a heartbeat, maybe a delayed duplicate, got a response: attempts may run for a lease from now. */
   heartbeatAnswered(now: number): void {
     this.#latestLeaseStart = now;
   }
 
   /**
-   * A new heartbeat gets a response, which renews the worker's lease. The response to a delayed duplicate reaches no
-   * worker, so it counts only in `heartbeatAnswered`, which tracks how long the worker's attempts may run.
+   * Notes that a new heartbeat gets a response, which renews the worker's lease. The response to a delayed duplicate
+   * reaches no worker, so only `heartbeatAnswered` counts it, which tracks how long the worker's attempts may run.
    */
   leaseRenewed(now: number): void {
     this.#lastRenewalAt = now;
@@ -203,23 +203,23 @@
     this.#latestLeaseStart = Math.max(this.#latestLeaseStart, now);
   }
 
-  /** The machine is being probed. */
+  /** Notes that the machine is being probed. */
   probed(now: number): void {
     this.#lastProbeAt = now;
   }
 
-  /** The last command got a response: it was executed or refused. */
+  /** Notes that the last command got a response: it was executed or refused. */
   commandAnswered(): void {
     this.#isLastCommandUnanswered = false;
     this.#unresponsiveSince = undefined;
   }
 
-  /** The last command could not be sent. */
+  /** Notes that the last command could not be sent. */
   commandNotSent(): void {
     this.#isLastCommandUnanswered = true;
   }
 
-  /** The last command was sent and got no response. */
+  /** Notes that the last command was sent and got no response. */
   commandUnanswered(now: number): void {
     this.#isLastCommandUnanswered = true;
     this.#unresponsiveSince ??= now;
