--- a/src/admission/decision.ts
+++ b/src/admission/decision.ts
@@ -35,7 +35,7 @@
   return { kind: 'defer', retryAfterS: retryAfterS(admitted - granted, rate, job.id) };
 }
 
-/** The time after which the flow's debt should be repaid, plus a spread that depends on the job's id. */
+/** The expected time until the flow's debt is repaid, plus a spread that depends on the job's id. */
 function retryAfterS(debt: number, rate: number, id: string): number {
   const repaidS = rate > 0 ? debt / rate : MAX_RETRY_S;
   const spread = hash(id) % RETRY_SPREAD_S;
--- a/src/admission/epoch-writer.ts
+++ b/src/admission/epoch-writer.ts
@@ -102,7 +102,7 @@
     }
   }
 
-  /** The time for which the next epoch grants work: that since this leader's previous epoch, or one epoch interval. */
+  /** Time since this leader's previous epoch, for which the next one grants work; one epoch interval if it wrote none. */
   #elapsedMs(now: number, epochMs: number): number {
     const writtenAt = this.#writtenAt ?? now - epochMs;
     return Math.min(now - writtenAt, epochMs * MAX_ELAPSED_EPOCHS);
--- a/src/admission/epoch.ts
+++ b/src/admission/epoch.ts
@@ -74,8 +74,8 @@
 }
 
 /**
- * The rate at which work is admitted, in CPU seconds per second. Users' estimates are often wrong by half, so
- * the backlog corrects the rate, which keeps its drain time near the midpoint between the two thresholds of overload.
+ * The rate at which work is admitted, in CPU seconds per second. Users' estimates are often wrong by half, so the rate
+ * is adjusted to keep the backlog's drain time near the midpoint between the two thresholds of overload.
  */
 export function admissionRate({ load }: EpochInput, { enterS, leaveS }: AdmissionOptions): number {
   const targetS = (enterS + leaveS) / 2;
@@ -84,7 +84,7 @@
   return capacity * Math.min(MAX_RATE_FACTOR, Math.max(MIN_RATE_FACTOR, factor));
 }
 
-/** Each flow begins with the grant of `MAX_SAVED_EPOCHS` epochs, less the excess of its backlog over its fair share. */
+/** Begins an overload: grants each flow its rate for `MAX_SAVED_EPOCHS` epochs, less its backlog above the fair share. */
 function beginOverload(current: Epoch, input: EpochInput, options: AdmissionOptions): Epoch {
   const { weights } = options;
   const rates = flowRates(input, options, weights);
--- a/src/admission/fair-shares.ts
+++ b/src/admission/fair-shares.ts
@@ -14,7 +14,7 @@
 export interface WeightedDemand<Key> {
   readonly key: Key;
   readonly weight: number;
-  /** The largest share that it can use; `Infinity` if unlimited. */
+  /** The largest amount that may be allotted to this demand; `Infinity` if unlimited. */
   readonly demand: number;
 }
 
--- a/src/admission/options.ts
+++ b/src/admission/options.ts
@@ -6,7 +6,7 @@
 
 const weight = z.number().positive().max(1e6);
 
-/** The schema of the table. Without the table, admission is off. */
+/** The schema of the table `[admission]`. Admission is off if the table is missing or `enabled` is false. */
 export const admissionSchema = z.strictObject({
   enabled: z.boolean(),
   /** Overload begins when the accepted work would keep the current fleet busy for longer than this. */
@@ -23,7 +23,7 @@
   team_weights: z.record(z.string(), weight).default({}),
 });
 
-/** The checked table. */
+/** The table `[admission]` after validation. */
 export type AdmissionTable = z.infer<typeof admissionSchema>;
 
 /** The options of admission, derived from the table. */
--- a/src/admission/overload.ts
+++ b/src/admission/overload.ts
@@ -15,7 +15,7 @@
   readonly capacity: number;
 }
 
-/** Growth by a smaller share does not count as growth. */
+/** A smaller relative increase in the number of machines does not count as growth of the fleet. */
 const MIN_GROWTH_SHARE = 0.05;
 /** Capacity that is assumed for an empty fleet, to avoid a division by zero. */
 const MIN_CAPACITY_CPUS = 1;
@@ -54,7 +54,7 @@
   readonly stalledForS: number;
 }
 
-/** While a flow's grant is exhausted, an overload ends only below this part of `leaveS`. */
+/** While a flow's grant is exhausted, an overload ends only at a drain time of at most this fraction of `leaveS`. */
 const EXHAUSTED_GRANT_LEAVE_FACTOR = 0.25;
 
 /**
--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -25,8 +25,8 @@
 };
 
 /**
- * Ends the wait of a loop when woken, or after a timeout; a wake before the wait ends that wait at once. A wake does not
- * cancel the timer of the wait: the timer keeps running as the timeout of the next wait. With hundreds of wakes a second,
+ * Ends the wait of a loop when woken, or after a timeout; a wait that follows a wake ends at once. A wake doesn't cancel
+ * the timer of the wait: the timer keeps running as the timeout of the next wait. With hundreds of wakes a second,
  * aborting and restarting the timer cost more than the work that followed the wakes (docs/PERFORMANCE.md).
  */
 export class WakeSignal {
--- a/src/base/event-loop-delay.ts
+++ b/src/base/event-loop-delay.ts
@@ -2,7 +2,7 @@
 import type { Clock } from './clock';
 
 const PROBE_INTERVAL_MS = 100;
-/** Decay of the measured delay at each probe, since one short delay does not mean that the overload has ended. */
+/** Factor by which the delay decays per probe, because one short delay does not mean that the overload has ended. */
 const DECAY_FACTOR = 0.7;
 /** From this delay on, consolidation and eager re-issue are shed. */
 const SHED_OPTIMIZATION_MS = 250;
--- a/src/base/settings.ts
+++ b/src/base/settings.ts
@@ -55,13 +55,13 @@
   operator: OperatorSettings,
   [platformFile, operatorFile]: SettingsFiles,
 ): number {
-  // A partitioned owner may renew workers' leases until its own lease ends, and their tasks run for one worker lease more.
-  // A cancellation that it can't see must take effect in time nevertheless: shard lease + worker lease + margin <= cancel_s.
+  // A partitioned owner may renew workers' leases until its shard lease ends; tasks then run for one more worker lease.
+  // A cancellation unseen by the owner takes effect in time if shard lease + worker lease + margin <= cancel_s.
   const maxMs = Math.min(MAX_SHARD_LEASE_MS, (cancel_s - lease_s) * 1000 - CANCEL_MARGIN_MS);
   if (maxMs < MIN_SHARD_LEASE_MS) {
     throw new SettingsError(`${platformFile}: deployment.workers.cancel_s: leaves no time for a block lease`);
   }
-  // Shorter by default, so that a failover completes before the leases of the failed owner's workers expire.
+  // The default is below the maximum, so that a failover completes before the failed owner's workers lose their leases.
   const defaultMs = Math.min(DEFAULT_SHARD_LEASE_MS, (lease_s * 1000) / 2, maxMs);
   const leaseMs =
     operator.block_lease_s === undefined
@@ -121,8 +121,8 @@
   const { workers, state, quota } = checked.deployment;
   const shardLeaseMs = chooseShardLease(workers, options, files);
   const next = readNextLimits(state.next);
-  // Within this time an owner either sees a cancellation or stops acting on the shard. The bounds on the shard lease
-  // leave at least 2.5 s for `cancellationUncertaintyMs`.
+  // Longest time from a cancellation until the shard's owner has seen it or has stopped acting on the shard. The bounds
+  // in `chooseShardLease` keep it so short that `cancellationUncertaintyMs` is at least 2.5 s.
   const cancellationSeenWithinMs = Math.max(shardLeaseMs, LEASE_EXTENSION_MS);
   return {
     platform: {
--- a/src/base/sockets.ts
+++ b/src/base/sockets.ts
@@ -18,7 +18,7 @@
 
 /** File descriptors of other open files, and of connections that the system has not released yet. */
 const OTHER_DESCRIPTORS = 32;
-/** One connection in each direction, and as many half-open ones after a peer's crash or a network partition. */
+/** For each peer, one connection in each direction and as many half-open ones after a crash or a network partition. */
 const SOCKETS_PER_PEER = 4;
 const MAX_EXTERNAL = 24;
 const EXTERNAL_SHARE = 1 / 16;
@@ -35,7 +35,7 @@
 
 /**
  * Allocates the sockets. A shard's owner needs an inbound connection from each of its machines. Outbound connections
- * leave fewer sockets for these, so commands use few of them, and idle ones are closed as workers connect.
+ * leave fewer sockets for inbound ones, so commands use few sockets, and idle connections are closed as workers connect.
  */
 export function allocateSockets(fileLimit: number, peers: number): SocketShares {
   const commands = Math.floor(fileLimit * COMMANDS_SHARE);
--- a/src/base/state-limits.ts
+++ b/src/base/state-limits.ts
@@ -1,8 +1,8 @@
 /** @file The effective limits of the key-value store. */
 
 /**
- * Limits of the key-value store. The platform may announce lower ones that come into force at an unknown time; a
- * controller therefore applies the lower of the two from its start.
+ * Limits of the key-value store. The platform may announce lower ones that come into force at an unknown time, so a
+ * controller applies the lower of the current and the announced limit from its start.
  */
 export interface StateLimits {
   /** Maximum number of requests a second, for all controllers together. */
@@ -20,7 +20,7 @@
 const BYTES_PER_KB = 1024;
 /** The acquisition of a shard needs this many changes in one transaction. */
 const MIN_TRANSACTION_CHANGES = 3;
-/** Largest share of a second's changes that one transaction may need; one that needs all of them may wait forever. */
+/** Maximum share of `write_rps` that one transaction may use; a transaction that needs all of it may wait forever. */
 const MAX_TRANSACTION_SHARE = 0.5;
 
 /** Reads a limit from the announcement; undefined when the field is invalid. */
@@ -81,7 +81,7 @@
   return Math.floor(value_kb * BYTES_PER_KB);
 }
 
-/** The most changes that one transaction may contain, at most the number that its writer wants. */
+/** The maximum number of changes in one transaction under these limits; `wanted` if that is lower. */
 export function maxChangesPerTransaction({ txn_ops, write_rps }: StateLimits, wanted = Infinity): number {
   const withinRate = Math.max(MIN_TRANSACTION_CHANGES, Math.floor(write_rps * MAX_TRANSACTION_SHARE));
   return Math.min(wanted, txn_ops, withinRate);
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -23,7 +23,7 @@
 
 const MAX_REQUEST_BYTES = 64 * 1024;
 const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
-/** A controller that is not initialized by then listens anyway, and refuses requests with 503. */
+/** Longest time to wait for initialization before listening. Until it is initialized, a controller responds with 503. */
 const MAX_LISTEN_DELAY_MS = 3_000;
 const INITIALIZATION_POLL_MS = 10;
 const MS_PER_S = 1_000;
@@ -113,8 +113,8 @@
     startedAt: 0,
     random: systemRandom,
     log,
-    // A pool separate from that for workers, whose many idle connections must not evict those to the key-value store:
-    // when sockets have run out, opening a new connection fails, and so does the lease renewal that needs it.
+    // This pool is separate from the pool for workers, so that idle connections to workers can't evict those to the
+    // key-value store: without free sockets, a new connection fails, and so does the lease renewal that needs it.
     http: new HttpClient(codec, { perHost: external, idle: () => 2 * external }, MAX_RESPONSE_BYTES),
     workers,
     broadcast: (bytes) => {
--- a/src/main.ts
+++ b/src/main.ts
@@ -45,7 +45,7 @@
 
 function writeCodeCache(): void {
   const script = compile(undefined);
-  // Functions that run here are compiled by then and go into the cache; the others are compiled at their first call.
+  // Runs `createProgram`, so that the functions that it calls are compiled and cached; others are compiled when called.
   load(script).createProgram();
   writeFileSync(CODE_CACHE_FILE, script.createCachedData());
 }
--- a/src/protocol/http-key-value-store.ts
+++ b/src/protocol/http-key-value-store.ts
@@ -145,8 +145,8 @@
   }
 
   /**
-   * Requests changes. Returns undefined when the response exceeds the client's size limit; the store sets none. A retry
-   * would get an even larger response, so the controller would never receive another change.
+   * Requests changes. Returns undefined when the response exceeds the client's size limit; the store has no limit.
+   * A retry would get an even larger response, so the controller would never receive another change.
    */
   async #callForChanges(path: string, timeoutMs: number): Promise<HttpResponse | undefined> {
     try {
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -25,8 +25,8 @@
 }
 
 /**
- * The sender grants a request: it acquires no shard until the extension ends. It lists the jobs whose end the requester
- * may not have received.
+ * The grant of a lease extension: its sender acquires no shard until the extension ends. The grant lists the jobs
+ * whose end the requester may not have received.
  */
 export interface LeaseExtensionGrant {
   from: string;
@@ -44,7 +44,7 @@
   jobs: JobProgress[];
   /** The sender's shards of which most workers can't reach the sender. */
   unreachableShards: number[];
-  /** For each shard of another owner, how many of its machines recently sent heartbeats to the sender. */
+  /** For each shard of another owner, the number of machines that recently sent heartbeats to the sender. */
   redirected: { shard: number; machines: number }[];
   /** Absent when suspicion is off at the sender, and from versions without it. */
   view?: PeerView;
--- a/src/suspicion/heartbeat-intervals.ts
+++ b/src/suspicion/heartbeat-intervals.ts
@@ -4,7 +4,7 @@
 
 const RELATIVE_ACCURACY = 0.02;
 const MAX_BINS = 256;
-/** About four minutes of heartbeats, at one a second. */
+/** Number of intervals in a generation: about four minutes of heartbeats, at one a second. */
 const INTERVALS_PER_GENERATION = 256;
 /** Minimum number of intervals from which their distribution is estimated. */
 const MIN_INTERVALS = 8;
--- a/src/suspicion/move-limiter.ts
+++ b/src/suspicion/move-limiter.ts
@@ -17,7 +17,7 @@
 
   constructor(private readonly movesPerMinute: number) {}
 
-  /** Records the owner from a shard's record; counts a move if it differs from the last one. */
+  /** Records the owner from a shard's record; counts a move if the shard had another owner before. */
   recordOwner(shard: number, owner: string, now: number): void {
     const previousOwner = this.#owners.get(shard);
     this.#owners.set(shard, owner);
@@ -33,7 +33,7 @@
     return hasCooledDown && this.allowsAnyMove(now);
   }
 
-  /** Whether the limit per minute allows another move. No cooldown: for shards whose lease no controller holds. */
+  /** Whether the limit per minute allows another move. Ignores the cooldown, which protects only holders of a lease. */
   allowsAnyMove(now: number): boolean {
     return this.#moves.filter((at) => now - at < WINDOW_MS).length < this.movesPerMinute;
   }
--- a/src/suspicion/options.ts
+++ b/src/suspicion/options.ts
@@ -10,7 +10,7 @@
 /** Minimum of `timeout_s`. It exceeds the heartbeat interval, so that one delayed heartbeat causes no suspicion. */
 const MIN_TIMEOUT_S = 1.5;
 
-/** The schema of the table. Without the table, suspicion is off. */
+/** The schema of the table `[suspicion]`. Suspicion is off if the table is missing or `enabled` is false. */
 export const suspicionSchema = z.strictObject({
   enabled: z.boolean(),
   /** `phi` adapts to the intervals of each peer's heartbeats; `fixed` uses `timeout_s` only. */
@@ -26,17 +26,17 @@
   /** Number of stalls within `stall_window_s` after which a controller hands its shards over. */
   stalls: z.int().min(1).max(100).default(3),
   stall_window_s: z.number().positive().max(600).default(30),
-  /** A controller hands its shards over after most peers, by their heartbeats, have suspected it for this long. */
+  /** Time for which most peers must have suspected a controller, by their heartbeats, before it hands its shards over. */
   give_up_after_s: z.number().positive().max(60).default(3),
   /** Maximum number of shards that suspicion moves per minute. */
   moves_per_minute: z.int().min(0).max(60).default(4),
-  /** For this long after a controller returned, it ranks below otherwise equal controllers as owner of a shard. */
+  /** Time after a controller's return during which it ranks below otherwise equal controllers as owner of a shard. */
   probation_s: z.number().min(0).max(600).default(10),
   /** Whether spans of handovers are written to the log. */
   trace: z.boolean().default(false),
 });
 
-/** The checked table. */
+/** The table `[suspicion]` after validation. */
 export type SuspicionTable = z.infer<typeof suspicionSchema>;
 
 /** The options of suspicion, derived from the table. Times in milliseconds. */
@@ -84,7 +84,7 @@
   readonly verdictAfterMs: number;
 }
 
-/** Describes a contradiction between settings and names the key at fault. `shardLeaseS` is the shard lease. */
+/** Describes a contradiction between settings, and names the key at fault. `shardLeaseS`: duration of the shard lease. */
 function findContradiction(table: SuspicionTable, shardLeaseS: number): string | undefined {
   // The expiry of the lease declares the controller failed: a later suspicion or handover would have no effect.
   const shorterThanLease = ['timeout_s', 'stall_s', 'give_up_after_s', 'min_deviation_s'] as const;
--- a/src/suspicion/peer-detector.ts
+++ b/src/suspicion/peer-detector.ts
@@ -6,14 +6,14 @@
 import { RunningClock } from './running-clock';
 import { assessSilence } from './silence';
 
-/** Shorter intervals are not recorded, since the messages belong to one heartbeat or were buffered together. */
+/** Minimum interval that is recorded: messages in quicker succession are one heartbeat or were buffered together. */
 const MIN_HEARTBEAT_INTERVAL_MS = HEARTBEAT_INTERVAL_MS / 10;
 /** A view expires after this much running time without a heartbeat of its sender. */
 const MAX_VIEW_AGE_MS = 3 * HEARTBEAT_INTERVAL_MS;
 /**
  * A peer is not suspected while another controller reports a heartbeat of the peer that is no older than this. Peers
- * send a heartbeat every second, so a newer one would have been reported by then. Only heartbeats that the controller
- * received itself count, or else two controllers could keep confirming a failed peer to each other.
+ * send a heartbeat every second, so while a peer is up, a newer one is reported. Only heartbeats that the reporting
+ * controller received itself count, or else two controllers could keep confirming a failed peer to each other.
  */
 const MAX_INDIRECT_HEARTBEAT_AGE_MS = 2.5 * HEARTBEAT_INTERVAL_MS;
 
@@ -175,7 +175,7 @@
     return assessSilence(silentMs, peer.intervals.distribution, this.options).isSuspicious;
   }
 
-  /** Suspects an unresponsive peer, unless another controller received its heartbeat: then only the link failed. */
+  /** Suspects an unresponsive peer, unless another controller recently received its heartbeat (only the link failed). */
   #checkSilence(peer: ObservedPeer, now: number): void {
     if (!this.#isUnresponsive(peer) || peer.state.status === 'unknown') return;
     const incarnation = this.#incarnationSeenByOthers(peer, now);
--- a/src/suspicion/peer-reachability.ts
+++ b/src/suspicion/peer-reachability.ts
@@ -5,15 +5,15 @@
 
 /** A worker counts as redirected for this long after its last redirected heartbeat. */
 const REDIRECT_MEMORY_MS = 6_000;
-/** A shard is handed over if at least this share of its workers can't reach its owner, but enough reach peers. */
+/** If at least this share of a shard's machines can't reach its owner, the fault is likely the owner's. */
 const MIN_UNREACHABLE_SHARE = 0.7;
-/** Fewer unreachable machines than this don't indicate a fault of the controller. */
+/** Minimum number of unreachable machines that indicates a fault of the owner. */
 const MIN_UNREACHABLE_MACHINES = 3;
 
 /**
  * Tracks which controllers are reachable for which workers, from the controllers' heartbeats. A controller may be
- * unreachable for its workers only, or for its peers, too. Its workers then send their heartbeats to its peers. They
- * must not be redirected to a controller that they can't reach, or their leases would expire.
+ * unreachable for its workers only, or for its peers, too. The workers then send their heartbeats to peers of the
+ * controller. A worker must not be redirected to a controller that it can't reach, or its lease would expire.
  */
 export class PeerReachability {
   readonly #heartbeats = new Map<string, PeerHeartbeat>();
@@ -51,7 +51,7 @@
     return this.#lastFreshHeartbeatAt;
   }
 
-  /** For each shard of another owner, how many of its machines recently sent heartbeats to this controller. */
+  /** Counts, for each shard of another owner, the machines that recently sent heartbeats to this controller. */
   redirectedMachineCounts(): { shard: number; machines: number }[] {
     const now = this.clock.now();
     const counts = new Map<number, number>();
@@ -62,7 +62,7 @@
     return [...counts].map(([shard, machines]) => ({ shard, machines }));
   }
 
-  /** Whether the owner is reachable for this controller and for the shard's workers, so that they may be redirected. */
+  /** Whether workers may be redirected to the owner: it is reachable for this controller and for the shard's workers. */
   isReachable(owner: string, shard: number): boolean {
     const heartbeat = this.#heartbeats.get(owner);
     if (!heartbeat || this.liveness.isUnresponsive(owner)) return false;
@@ -70,8 +70,8 @@
   }
 
   /**
-   * The peer to which this controller should hand over a shard because most of the shard's workers reach that peer, but
-   * not this controller; undefined if there is none.
+   * The peer to which this controller should hand over a shard: the one that the largest number of the shard's
+   * machines reach. Undefined unless most can't reach this controller, and at least half of all reach some peer.
    */
   successor(shard: number, machines: number, unreachable: number): string | undefined {
     if (!areMostUnreachable(machines, unreachable)) return undefined;
--- a/src/suspicion/peers-report.ts
+++ b/src/suspicion/peers-report.ts
@@ -23,7 +23,7 @@
   readonly run: number;
   readonly incarnation: number;
   readonly isStalled: boolean;
-  /** Number of stalls of this process within the window. */
+  /** Number of stalls of this process in the last `stall_window_s` seconds. */
   readonly stalls: number;
   /** Time for which most peers have suspected this controller; null if they don't. */
   readonly suspectedForMs: number | null;
--- a/src/suspicion/planned-handover.ts
+++ b/src/suspicion/planned-handover.ts
@@ -7,7 +7,7 @@
 
 /** A controller's observations of itself. Monotonic times in milliseconds. */
 export interface SelfObservation {
-  /** The pauses within the window that count as stalls. */
+  /** The pauses in the last `stall_window_s` seconds that count as stalls. */
   readonly stalls: readonly Pause[];
   /** Monotonic time since which most peers have suspected the controller without interruption; undefined if they don't. */
   readonly suspectedSince: number | undefined;
--- a/src/suspicion/suspicion.ts
+++ b/src/suspicion/suspicion.ts
@@ -37,8 +37,8 @@
 
 /**
  * Observes the peers and this process, exchanges views with the peers, and ranks controllers. A suspicion gives no
- * controller authority over a shard: that takes the shard lease and a fencing token. Only the end of a peer's session
- * declares the peer failed. All effects of a suspicion are reversible.
+ * controller authority over a shard: authority requires the shard lease and a fencing token. Only the end of a peer's
+ * session declares it failed. All effects of a suspicion are reversible.
  */
 export class Suspicion implements PeerLiveness {
   readonly #detector: PeerDetector;
@@ -50,7 +50,7 @@
   #sessionEpoch = 0;
   /** Counter within a session, raised to refute a suspicion. */
   #incarnation = 0;
-  /** Monotonic time since which most peers have suspected this controller. */
+  /** Monotonic time since which most peers have suspected this controller; undefined if they don't. */
   #suspectedSince: number | undefined;
 
   constructor(
@@ -157,8 +157,8 @@
   }
 
   /**
-   * The handover by which this controller should give up a shard because it is stalled or suspected; undefined if it
-   * should keep the shard. The successor must reach the key-value store and have sent a heartbeat since this
+   * The handover by which this controller, being stalled or suspected, should give up a shard; undefined if it should
+   * keep the shard. The successor must reach the key-value store and have sent a heartbeat since this
    * controller's last stall: if all controllers are slow, a handover is no improvement.
    */
   plannedHandover(shard: number, candidates: readonly OwnerCandidate[]): PlannedHandover | undefined {
@@ -198,7 +198,7 @@
     });
   }
 
-  /** The pauses of this process within the window that count as stalls. */
+  /** The pauses of this process in the last `stall_window_s` seconds that count as stalls. */
   #recentStalls(): Pause[] {
     const { stallWindowMs, stallMs } = this.options;
     return this.#detector.runningClock.pausesSince(this.context.clock.now() - stallWindowMs, stallMs);
--- a/src/transport/connections.ts
+++ b/src/transport/connections.ts
@@ -69,7 +69,7 @@
     if (this.#isFull) this.#idleUsers.values().next().value?.destroy();
   }
 
-  /** Registers the start of a request; false when its connection exceeds the limit for its use. */
+  /** Registers the start of a request; false when the connection exceeds the limit for this use. */
   beginRequest(socket: Socket, use: ConnectionUse): boolean {
     const connection = this.#all.get(socket);
     if (!connection) return true;
@@ -113,7 +113,7 @@
     this.#idleUsers.delete(socket);
   }
 
-  /** A machine that lost power never closes its connection; without a timeout such connections would accumulate. */
+  /** Closes workers' idle connections, which would accumulate: a machine that lost power never closes its connection. */
   #closeIdleWorkers(): void {
     const now = this.now();
     this.#idleCheckedAt = now;
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -44,8 +44,8 @@
    * @param path path and query
    * @param body the value to encode as the body; undefined: the request has no body
    * @param timeoutMs how long to wait for the whole response
-   * @param maySend checked when the connection is established, right before the first byte is written: the process may
-   * stall while it waits for a connection, and by then its lease may have expired and another controller may be the owner
+   * @param maySend checked when the connection is established, right before the first byte is written: while the request
+   * waits for a connection, the process may stall, its lease may expire and another controller may become the owner
    */
   call(
     target: string,
@@ -161,9 +161,9 @@
   }
 
   /**
-   * On a small share of a core, an event-loop turn may take longer than the timeout, and the next turn runs timers before
-   * sockets. So a response that has already arrived is read before the request fails: otherwise a slow controller would
-   * consider all others unresponsive.
+   * Fails the request, but first reads a response that has already arrived. On a small share of a core, an event-loop
+   * turn may take longer than the timeout, and the next turn runs timers before sockets. Without the delay, a slow
+   * controller would consider all others unresponsive.
    */
   #onTimeout(): void {
     setImmediate(() => {
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -102,8 +102,8 @@
   ) {}
 
   /**
-   * Most heartbeats get a response in the event-loop turn in which they arrive, without a promise, because a thousand
-   * workers send hundreds of heartbeats a second.
+   * Handles a request. Most heartbeats get a response in the event-loop turn in which they arrive, without a promise,
+   * because a thousand workers send hundreds of heartbeats a second.
    */
   handle(request: FastifyRequest, reply: FastifyReply): void {
     const { socket } = request.raw;
--- a/src/transport/rate-limit.ts
+++ b/src/transport/rate-limit.ts
@@ -10,7 +10,7 @@
 
 /**
  * A token bucket. `take` waits for tokens, first come first served; `takeNow` doesn't wait, and makes later callers of
- * `take` wait longer. Tokens are taken before the wait, so that small batches can't overtake a large one repeatedly.
+ * `take` wait longer. Tokens are taken before the wait, so that small requests can't overtake a large one repeatedly.
  */
 export class RateLimit {
   #tokens: number;
