--- a/src/bookkeeping/deletion-log.ts
+++ b/src/bookkeeping/deletion-log.ts
@@ -1,8 +1,8 @@
 /** @file A log of recently deleted keys. */
 
-/** Number of remembered deletions of one kind above which the oldest are forgotten. */
+/** The number of logged deletions of one kind of key above which `trim` removes the oldest. */
 const MAX_PER_KIND = 2_000;
-/** Number of deletions of one kind that remain after the oldest were forgotten. */
+/** The number of deletions to which `trim` shortens the log of a kind that exceeds `MAX_PER_KIND`. */
 const KEPT_PER_KIND = 1_000;
 
 /** A key that was deleted, and the revision of the deletion. */
@@ -11,7 +11,7 @@
   readonly version: number;
 }
 
-/** Deletions of keys of one kind: their revisions, by key. */
+/** The logged deletions of one kind of key; `versions` maps each key to the revision of its deletion. */
 interface KindLog {
   readonly versions: Map<string, number>;
   /** All deletions of this kind after this revision are remembered. */
@@ -25,7 +25,7 @@
  */
 export class DeletionLog {
   readonly #kinds = new Map<string, KindLog>();
-  /** The `completeFrom` of kinds without deletions. */
+  /** The `completeFrom` of kinds that have no log yet. */
   #completeFrom = Infinity;
 
   /** The revision at which the key was deleted; 0 if no deletion is remembered. */
--- a/src/bookkeeping/dependency-records.ts
+++ b/src/bookkeeping/dependency-records.ts
@@ -106,7 +106,7 @@
   for (const [part, dependencies] of parts.entries()) {
     const value: DependencyPartRecord = { dependencies };
     const stored = await store.get(KEY.dependencyPart(id, part));
-    // A repeated submission continues where the previous one stopped.
+    // An earlier submission of the job has stored this part, so it is not written again.
     if (stored && JSON.stringify(read.dependencyPart(stored.value)) === JSON.stringify(value)) {
       writer.versions[part] = stored.version;
       continue;
@@ -128,7 +128,7 @@
 
 /** Writes the parts of one list of dependencies in transactions that are as large as the limits allow. */
 class PartWriter {
-  /** The versions of the parts that are stored, by part. */
+  /** The versions of the stored parts, by the number of the part. */
   readonly versions: number[] = [];
   #batch: PartWrite[] = [];
   #bytes = 0;
--- a/src/bookkeeping/dependency-tracker.ts
+++ b/src/bookkeeping/dependency-tracker.ts
@@ -61,7 +61,7 @@
     return this.graph.isReady(id);
   }
 
-  /** Whether a dependency is live in the watch cache. If so, no owner whose cache is as old or older started the job. */
+  /** Whether a dependency is live in the watch cache. If so, no owner with this or an older cache has started the job. */
   hasLiveDependency(id: string): boolean {
     return this.graph.dependenciesOf(id).some((dependency) => this.cache.get(KEY.job(dependency)));
   }
--- a/src/bookkeeping/final-states.ts
+++ b/src/bookkeeping/final-states.ts
@@ -40,7 +40,7 @@
     return this.#statuses.get(id);
   }
 
-  /** The record of a final state. It omits `endedAt` until all controllers can read it, which needs record format 2. */
+  /** The record of a final state. It contains `endedAt` only if all controllers understand record format 2. */
   record(state: FinalState, done: number, endedAt: number): FinalRecord {
     return this.formatGate.isOpenForFormat2 ? { state, done, endedAt } : { state, done };
   }
--- a/src/bookkeeping/job-acceptance.ts
+++ b/src/bookkeeping/job-acceptance.ts
@@ -18,7 +18,7 @@
 import { SubmittedDependencies } from './submitted-dependencies';
 import type { WatchCache } from './watch-cache';
 
-/** Maximum number of tries of an acceptance. It is retried when the admission terms may have changed. */
+/** Maximum number of transactions tried to accept a job; it is tried again if the admission terms may have changed. */
 const MAX_ADMISSION_TRIES = 5;
 
 /** The services and limits that `JobAcceptance` uses. */
@@ -41,11 +41,11 @@
   readonly status: JobStatus;
 }
 
-/** Writes the live records of submitted jobs. A job that was accepted stays accepted. */
+/** Accepts submitted jobs by writing their live records. A job that was accepted stays accepted. */
 export class JobAcceptance {
   readonly #dependencies: SubmittedDependencies;
 
-  /** `find` reads a job's state from the key-value store; undefined if the job was never accepted. */
+  /** `find` reads a job's state from the key-value store; it returns undefined if the job was never accepted. */
   constructor(
     private readonly context: JobAcceptanceContext,
     private readonly find: (id: string) => Promise<JobStatus | undefined>,
@@ -53,7 +53,7 @@
     this.#dependencies = new SubmittedDependencies(context);
   }
 
-  /** Accepts a job, or finds the one that was accepted before under this id. */
+  /** Accepts a job. If a job with this id was accepted before, returns the state of that job. */
   async accept(job: Job): Promise<Acceptance> {
     const cached = this.context.finals.cached(job.id);
     if (cached) return { isNew: false, status: cached };
@@ -127,7 +127,7 @@
       return await this.context.store.compareAndSwap(conditions, changes);
     } catch (error) {
       if (!(error instanceof NoResponseError)) throw error;
-      // The write may have been executed, so the caller reads it back. If it is executed later, the user's retry finds it.
+      // The write may have succeeded, so the caller reads the job. If it succeeds later, the user's retry finds the job.
       return undefined;
     }
   }
--- a/src/bookkeeping/job-store.ts
+++ b/src/bookkeeping/job-store.ts
@@ -13,8 +13,8 @@
 }
 
 /**
- * Reads and writes the records of jobs. A live record is written once, when the job is accepted, and deleted in the
- * transaction that writes the final state. If completion and cancellation race, the first of the two deletes it and wins.
+ * Reads and writes the records of jobs. A live record is written once, when the job is accepted. Transactions that
+ * complete or cancel the job delete the live record and write the final state, so only one of them succeeds.
  */
 export class JobStore {
   readonly #acceptance: JobAcceptance;
@@ -23,7 +23,7 @@
     this.#acceptance = new JobAcceptance(context, (id) => this.find(id));
   }
 
-  /** Accepts a job, or finds the one that was accepted before under this id. */
+  /** Accepts a job. If a job with this id was accepted before, returns the state of that job. */
   accept(job: Job): Promise<Acceptance> {
     return this.#acceptance.accept(job);
   }
@@ -38,9 +38,9 @@
   }
 
   /**
-   * A job is cancelled when one of its dependencies is cancelled. A request for the state of such a job writes the
-   * cancellation before the response is sent. So every controller responds that the job is cancelled, even if the
-   * controller that cancelled the dependency has crashed.
+   * Returns the state of a job with a live record. If one of its dependencies is cancelled, cancels the job before the
+   * response is sent. So every controller responds that the job is cancelled, even if the controller that cancelled
+   * the dependency has crashed.
    */
   async #findLive(id: string, live: Entry): Promise<JobStatus | undefined> {
     const { dependencies } = this.context;
--- a/src/bookkeeping/records.ts
+++ b/src/bookkeeping/records.ts
@@ -89,7 +89,7 @@
   type: z.string(),
   zone: z.string(),
   spot: z.boolean(),
-  /** Set before the worker gets its first response, so a machine that isn't up has no tasks. */
+  /** Whether it is up: set before the worker gets its first response, so a machine that isn't up has no tasks. */
   up: z.boolean(),
   /** Wall-clock time of the rental or, for an adopted machine, of the adoption; used only for the machine's age. */
   rentedAt: z.number(),
--- a/src/bookkeeping/watch-cache.ts
+++ b/src/bookkeeping/watch-cache.ts
@@ -13,7 +13,7 @@
   /** The prefix of the keys that are cached. */
   readonly prefix: string;
   readonly clock: Clock;
-  /** Longest time that a watch request waits for changes; `freshAt` lags behind by up to this time. */
+  /** Longest time that a watch request waits for changes; `freshAt` lags behind the clock by up to this time. */
   readonly waitMs: number;
   /** Minimum time between the starts of two watch requests; notifications by peers bring changes sooner. */
   readonly minWatchIntervalMs: number;
@@ -132,7 +132,7 @@
       if (!page.hasMore || after === undefined) break;
     }
     this.#deleteUnlisted(listedKeys, firstRevision);
-    // Pages are read at different revisions. The watch continues from the first, which brings all of them up to date.
+    // Pages are read at different revisions. The watch continues from that of the first page, so it misses no change.
     this.#revision = firstRevision;
     this.#deletions.startAt(firstRevision);
     this.#freshAt = sentAt;
--- a/src/coordination/autoscaling/cloud-inventory.ts
+++ b/src/coordination/autoscaling/cloud-inventory.ts
@@ -41,7 +41,7 @@
     return this.#listed;
   }
 
-  /** Whether the record was deleted so recently that a lagging list may still contain the terminated machine. */
+  /** Whether the machine's record was deleted so recently that a lagging list may still contain the machine. */
   wasRecordDeletedRecently(id: string): boolean {
     return this.#recordDeletedAt.has(id);
   }
--- a/src/coordination/autoscaling/rental-recorder.ts
+++ b/src/coordination/autoscaling/rental-recorder.ts
@@ -92,7 +92,7 @@
   async step(signal: AbortSignal): Promise<void> {
     await this.#wake.wait(MAX_WAIT_MS);
     while (!signal.aborted && this.owner.entitled) {
-      // Machines that are up go first: their heartbeats get no response before their records are written.
+      // Recording machines as up is more urgent: their heartbeats get no response before their records are written.
       if (this.owner.pendingRegistrations > MAX_PENDING_REGISTRATIONS) return;
       const batch = this.#nextBatch();
       if (batch.length === 0) return;
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -20,7 +20,7 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** One step; to be run in a loop of its own. */
+  /** One step of scale-in; to be run in a loop of its own. */
   async step(signal: AbortSignal): Promise<void> {
     await this.context.clock.sleep(INTERVAL_MS, signal);
     if (signal.aborted || !this.owner.entitled) return;
--- a/src/coordination/autoscaling/scale-out.ts
+++ b/src/coordination/autoscaling/scale-out.ts
@@ -27,7 +27,7 @@
     private readonly rentals: RentalRecorder,
   ) {}
 
-  /** One step; to be run in a loop of its own. */
+  /** One step of scale-out; to be run in a loop of its own. */
   async step(signal: AbortSignal): Promise<void> {
     await this.context.clock.sleep(INTERVAL_MS, signal);
     if (signal.aborted || !this.owner.entitled || !this.context.eventLoopDelay.allowsScaleOut) return;
@@ -51,7 +51,7 @@
     this.#backedOffUntil.set(optionKey(option), this.context.clock.now() + NO_CAPACITY_BACKOFF_MS);
   }
 
-  /** Rents in calls of the largest size that the cloud accepts; backs off when a call yields too few machines. */
+  /** Rents the requested machines in as few calls as the cloud allows; backs off if a call yields too few machines. */
   async #rent(request: ScaleOutRequest, signal: AbortSignal): Promise<void> {
     let left = request.count;
     while (left > 0 && !signal.aborted && this.owner.entitled) {
@@ -65,9 +65,9 @@
     }
   }
 
-  /** Rents machines in one call with its retries; returns the number of rented machines. */
+  /** Requests `count` machines of the option, and retries a failed request; returns the number of rented machines. */
   async #createMachines(option: InstanceOption, count: number, signal: AbortSignal): Promise<number> {
-    // Each call has a random key of its own, which its retries repeat, so that a retry can't rent twice.
+    // All retries of the request send the same random idempotency key, so that a retry can't rent the machines twice.
     const request: CreateMachinesRequest = {
       idempotencyKey: this.context.random.uniqueName(),
       type: option.type.name,
@@ -87,7 +87,7 @@
         await this.context.clock.sleep(RETRY_MS, signal);
       }
     }
-    // If the cloud carries out an abandoned request after all, its machines appear in the list and are adopted.
+    // If the cloud executes an abandoned request later, the machines appear in the cloud's list and are adopted.
     return 0;
   }
 }
--- a/src/coordination/autoscaling/scaling-plan.ts
+++ b/src/coordination/autoscaling/scaling-plan.ts
@@ -30,7 +30,7 @@
 export interface UnplacedWork {
   readonly job: Job;
   readonly count: number;
-  /** Whether to rent for them rather than wait until running tasks free resources. */
+  /** Whether to rent machines for the tasks rather than wait until running tasks free resources. */
   readonly isUrgent: boolean;
   /** How long the tasks can wait and still end in time. */
   readonly slackMs: number;
@@ -125,10 +125,10 @@
   /** Assigns each of the tasks to a machine, as far as the options allow. */
   place(work: UnplacedWork): void {
     const { job } = work;
-    // The counts include placed tasks. Otherwise a machine might be rented in a zone that they rule out, and stay unused.
+    // The counts include placed tasks, which may rule out a zone; otherwise a machine rented there might stay unused.
     const zones: ZoneCounts = new Map(work.tasksPerZone);
     let left = work.count - this.#reserveFreeingCpus(work, zones);
-    // Free resources only shrink and task counts only grow, so later tasks don't fit a bin that one task doesn't fit.
+    // Free resources only shrink and task counts only grow, so if one task doesn't fit a bin, no later task does.
     let index = 0;
     while (left > 0) {
       index = this.#nextBin(job, zones, index);
--- a/src/coordination/controller-services.ts
+++ b/src/coordination/controller-services.ts
@@ -31,13 +31,13 @@
 
 const STORE_TIMEOUT_MS = 1_500;
 const CLOUD_TIMEOUT_MS = 5_000;
-/** Fraction of the store's rate limits that one controller may use: more than an equal share, as others use less. */
+/** Fraction of the store's rate limits for one controller: more than an equal share, as others use less than theirs. */
 const STORE_RATE_FRACTION = 0.6;
 /** Fraction of the request limit for checks whether a deferred job was accepted; a check takes up to two requests. */
 const LOOK_UP_RATE_FRACTION = 0.05;
 const CLOUD_RATE_FRACTION = 0.7;
 const CLOUD_BURST = 2;
-/** Number of consecutive watches without a change that fit into one shard lease. */
+/** Number of watch requests that fit into one shard lease if each waits its full time, because nothing changes. */
 const WATCHES_PER_LEASE = 5;
 
 /** The services of one controller: the context that its components share, and services for the controller only. */
@@ -136,7 +136,7 @@
 ): { endedJobs: EndedJobs; dependencies: DependencyTracker } {
   const graph = new JobGraph();
   const neverStarted = (id: string): boolean => graph.isCancellationPending(id);
-  // Created before the tracker, whose listener removes an ended job from the graph: `endedJobs` must look it up before.
+  // Created before the tracker, so that `endedJobs` looks up an ended job before the tracker removes it from the graph.
   const endedJobs = new EndedJobs(cache, clock, platform.deployment.workers.cancel_s, neverStarted);
   return { endedJobs, dependencies: new DependencyTracker(cache, finals, clock, graph) };
 }
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -13,7 +13,7 @@
 import { onRecordChange } from './record-changes';
 import type { ShardOwner } from './shard/shard-owner';
 
-/** The response to a cancellation waits at most this long until the dependents are recorded as cancelled. */
+/** Longest time that the response to a cancellation waits for the dependents to be recorded as cancelled. */
 const MAX_CANCEL_DEPENDENTS_MS = 1_000;
 
 /** One controller: its watch cache, its session, and the shards that it owns. */
@@ -82,7 +82,7 @@
     return this.#components.progress.withProgress(status);
   }
 
-  /** Cancels a job unless it is done, and its dependents as far as time allows. The leader cancels the remaining ones. */
+  /** Cancels a job unless it is done, and as many dependents as time allows; the leader cancels the rest. */
   async cancel(id: string): Promise<JobStatus | undefined> {
     const { context, progress, dependentCancellation } = this.#components;
     const { clock, log, dependencies } = context;
--- a/src/coordination/heartbeat-router.ts
+++ b/src/coordination/heartbeat-router.ts
@@ -44,7 +44,7 @@
     reachability.recordRedirect(heartbeat.machine, record.block);
     const relayed = record.up ? leaseRelay.respond(heartbeat, record.block) : undefined;
     if (relayed) return { kind: 'accepted', ...relayed };
-    // An unreachable owner is not named: a redirected worker would wait for its response until the worker's lease expires.
+    // An unreachable owner is not named, as the worker would wait for that owner until the worker's own lease expires.
     const owner = reachability.isReachable(lease.owner, record.block) ? lease.owner : undefined;
     return { kind: 'redirect', owner };
   }
--- a/src/coordination/readiness.ts
+++ b/src/coordination/readiness.ts
@@ -3,9 +3,9 @@
 import type { ControllerContext } from './controller-context';
 import type { MachineTypes } from './machine-types';
 
-/** The view of the key-value store is fresh if a watch request that was sent within this time got a response. */
+/** Maximum age of a fresh view of the key-value store: time since the last answered watch request was sent. */
 const MAX_VIEW_AGE_MS = 4_000;
-/** Longest time between two detections of one outage: watches end at different times, and heartbeats report it later. */
+/** Longest time between two controllers' detections of one outage: watches end and heartbeats arrive at different times. */
 const OUTAGE_DETECTION_SPREAD_MS = 2_500;
 /** A controller that received no heartbeat from any peer for this long is probably partitioned. */
 const PEER_HEARTBEAT_TIMEOUT_MS = 3_500;
@@ -35,8 +35,8 @@
 
   /**
    * Whether the load balancer should send users here. A controller that alone can't reach the key-value store is not
-   * ready; if no controller can, it stays ready, because others could not help either. A controller that receives no
-   * heartbeat from its peers either is probably partitioned, and is not ready.
+   * ready; if no controller can, it stays ready, because others could not help either. A controller that also receives
+   * no heartbeats from its peers is probably partitioned, and is not ready.
    */
   get isReady(): boolean {
     if (!this.isInitialized) return false;
@@ -44,8 +44,8 @@
     const { clock, cache, settings } = context;
     if (this.isViewFresh || settings.platform.others.length === 0) return true;
     if (clock.now() - reachability.lastHeartbeatAt > PEER_HEARTBEAT_TIMEOUT_MS) return false;
-    // Controllers detect the same outage at different moments, and each removal by the load balancer makes the next
-    // return slower. So only a peer whose view stays fresh beyond that difference makes this controller not ready.
+    // Controllers detect the same outage at different times, and after each removal the load balancer readmits a
+    // controller more slowly. So this one stays ready unless a peer's view stays fresh beyond the detection spread.
     return reachability.lastFreshHeartbeatAt < cache.freshAt + MAX_VIEW_AGE_MS + OUTAGE_DETECTION_SPREAD_MS;
   }
 }
--- a/src/coordination/routes.ts
+++ b/src/coordination/routes.ts
@@ -69,7 +69,7 @@
     return response instanceof Promise ? response.then(replyToWorker) : replyToWorker(response);
   }
 
-  /** An accepted job's status, else the refusal. Neither an invalid repeat nor new machine types undo an acceptance. */
+  /** The status of an accepted job, even if a repeated submission is invalid or no machine type fits; else the refusal. */
   async #existingStatusOr(id: string, refusal: HttpReply): Promise<HttpReply> {
     const status = await this.controller.jobs.find(id);
     return status ? replyWithStatus(this.controller.withProgress(status)) : refusal;
--- a/src/coordination/scheduling/chain-urgency.ts
+++ b/src/coordination/scheduling/chain-urgency.ts
@@ -12,7 +12,7 @@
   readonly latestFinishAt: number | undefined;
 }
 
-/** The fields of a live job that its dependencies inherit from. */
+/** The fields of a live job from which the urgency of its dependencies is derived. */
 export interface ChainJob {
   readonly priority: Priority;
   /** Wall-clock time of the job's own deadline; undefined if it has none. */
--- a/src/coordination/scheduling/consolidation-pass.ts
+++ b/src/coordination/scheduling/consolidation-pass.ts
@@ -15,7 +15,7 @@
 const INTERVAL_MS = 2_000;
 /** A task is moved only after it has run for this long. */
 const MIN_RUN_BEFORE_MOVE_S = 10;
-/** A task near or past its estimate is expected to run on for this share of its elapsed run time. */
+/** The least estimate of a task's remaining run time, as a share of its elapsed run time. */
 const MIN_REMAINING_SHARE = 0.3;
 
 /** Checkpoints the tasks of underused machines, which continue elsewhere, so that the machines can be released. */
@@ -28,7 +28,7 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** Runs if the interval has passed and no task waits for free resources, because moved tasks would occupy them. */
+  /** Drains machines if the interval has passed and no task waits for the resources that moved tasks would occupy. */
   runIfDue(now: number, isBacklogEmpty: boolean): void {
     if (now - this.#lastRunAt < INTERVAL_MS) return;
     this.#lastRunAt = now;
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -43,8 +43,8 @@
 const MAX_DRAINED_SHARE = 0.02;
 
 /**
- * Chooses underused machines whose tasks fit into the free resources of others. The tasks are checkpointed and continue
- * there, and the machines can be released. Without this a single long task would keep a whole machine rented.
+ * Chooses underused machines whose tasks fit into the free resources of other machines. The tasks are checkpointed and
+ * continue there, so the drained machines can be released. Otherwise one long task would keep a whole machine rented.
  */
 export function chooseConsolidation(input: ConsolidationInput): MachineToDrain[] {
   return new ConsolidationPlanner(input).run();
@@ -153,7 +153,7 @@
   return canCheckpoint && !job.oneZone && !job.spread;
 }
 
-/** How long the tasks that can't be moved still need the machine. */
+/** The longest estimated remaining run time of the machine's tasks that can't be moved; 0 if there are none. */
 function unmovableRemainingS(machine: ConsolidationCandidate): number {
   return Math.max(0, ...machine.tasks.filter((task) => !isMovable(task)).map((task) => task.remainingS));
 }
--- a/src/coordination/scheduling/eager.ts
+++ b/src/coordination/scheduling/eager.ts
@@ -4,7 +4,7 @@
 export interface MonitoredMachine {
   readonly id: string;
   readonly zone: string;
-  /** Monotonic time of its last heartbeat, or when it was first seen; if it became unresponsive earlier, that time. */
+  /** The earlier of two monotonic times: of the last heartbeat (or when first seen), and of becoming unresponsive. */
   readonly lastHeartbeatAt: number;
   readonly isBusy: boolean;
   /** Whether jobs of the shard wait until the attempts on this machine are known. */
--- a/src/coordination/scheduling/job-queue.ts
+++ b/src/coordination/scheduling/job-queue.ts
@@ -61,7 +61,7 @@
     : first.waiting.slackMs - second.waiting.slackMs;
 }
 
-/** Unstarted jobs first, then the oldest: an old job that has started might use up its team's limit alone. */
+/** Orders boosted jobs: unstarted ones first, as a started job might use up its team's limit alone; then the oldest. */
 function compareBoosted(first: WaitingJob, second: WaitingJob): number {
   const byStart = Number(first.hasStarted) - Number(second.hasStarted);
   return byStart !== 0 ? byStart : first.submittedAt - second.submittedAt;
--- a/src/coordination/scheduling/lease-expiry.ts
+++ b/src/coordination/scheduling/lease-expiry.ts
@@ -29,7 +29,7 @@
    * these leases, so the workers have killed and forgotten their attempts.
    */
   async dropExpired(): Promise<void> {
-    // Without the key-value store relays can't be ruled out, so nothing is dropped. A release still ends the tasks.
+    // Without the store, relays can't be ruled out, so no attempt is dropped. Releasing a machine still ends its tasks.
     if (this.context.store.isUnavailable || this.#expired(this.context.clock.now()).length === 0) return;
     if (!(await this.shard.confirmNotRelayed())) return;
     // The watch cache now contains all relay records that were written before the check.
@@ -41,7 +41,7 @@
     }
   }
 
-  /** Machines with expired leases that have attempts, or may have unknown ones because they are unconfirmed. */
+  /** Machines with expired worker leases that have attempts, or may have unknown attempts as they are unconfirmed. */
   #expired(now: number): Machine[] {
     const { leaseMs } = this.shard.timing;
     return [...this.shard.machines.values()].filter(
--- a/src/coordination/scheduling/machine-retirement.ts
+++ b/src/coordination/scheduling/machine-retirement.ts
@@ -4,14 +4,14 @@
 import type { DrainReason, Machine } from '../shard/machine';
 import type { Shard } from '../shard/shard';
 
-/** An unresponsive machine is given up this long after its worker's lease expired, as it may just be partitioned. */
+/** Time from the expiry of its worker's lease until an unresponsive machine is drained, as a partition may end first. */
 const GIVE_UP_AFTER_LEASE_MS = 20_000;
 
 /** The monotonic times after which an unusable machine is drained. */
 export interface RetirementLimits {
   /** The latest time by which the machine should have booted. */
   readonly bootDeadline: number;
-  /** The time at which the machine is given up if it is unresponsive. */
+  /** The time after which the machine is drained as unresponsive, unless it is busy. */
   readonly giveUpAt: number;
 }
 
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -30,7 +30,7 @@
   readonly usage: ReadonlyMap<string, TeamUsage>;
   /** CPUs that are still unused in the share of the fleet that is reserved for boosted jobs. */
   readonly boostedCpusLeft: number;
-  /** Whether any boosted task is on a machine. If not, one may be placed even if it is larger than that share. */
+  /** Whether any boosted task is on a machine. If none is, one may exceed the share of the fleet for boosted jobs. */
   readonly hasBoostedTasks: boolean;
   /** The index of the first queue entry to process: where the last round stopped. */
   readonly cursor: number;
--- a/src/coordination/scheduling/preemption-pass.ts
+++ b/src/coordination/scheduling/preemption-pass.ts
@@ -54,7 +54,7 @@
   ): void {
     const usage = this.shard.usageByTeam();
     const jobs = this.#jobsThatMayPreempt(queue, unplaced, usage);
-    // Usually there are none, and examining all running tasks took a tenth of the owner's time (docs/PERFORMANCE.md).
+    // Usually no job may preempt. This saves examining all running tasks, a tenth of the owner's time (docs/PERFORMANCE.md).
     if (jobs.length === 0) return;
     const input = { unplaced: jobs, machines: this.#observe(now), quotas: this.shard.teams, usage };
     for (const { key, machine } of choosePreemptions(input, timeIsUp).victims) {
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -186,13 +186,13 @@
   #mayEvict(waiting: Job, victim: PreemptibleTask): boolean {
     if (victim.isBeingEvicted || this.#machineByVictim.has(victim.key)) return false;
     if (PRIORITY_RANK[victim.job.priority] > PRIORITY_RANK[waiting.priority]) return true;
-    // A guarantee never evicts a task of higher priority. Because of its priority, that task would be placed first and
-    // evict the other one in turn, and so on without end.
+    // A guarantee permits no eviction of a task of higher priority. Otherwise that task would be placed first, because
+    // of its priority, and evict the waiting task in turn, and so on without end.
     if (PRIORITY_RANK[victim.job.priority] < PRIORITY_RANK[waiting.priority]) return false;
     return this.#isAllowedByGuarantee(waiting, victim.job);
   }
 
-  /** Whether the waiting task fits into its team's guarantee, and the victim's team keeps its own without the victim. */
+  /** Whether the waiting task fits its team's guarantee, and the victim's team uses its own fully without the victim. */
   #isAllowedByGuarantee(waiting: Job, victim: Job): boolean {
     if (victim.team === waiting.team) return false;
     const waitingQuota = this.input.quotas.get(waiting.team);
--- a/src/coordination/scheduling/unplaceable-sizes.ts
+++ b/src/coordination/scheduling/unplaceable-sizes.ts
@@ -22,7 +22,7 @@
   return resources.cpus >= bound.cpus && resources.gpus >= bound.gpus && resources.memoryGb >= bound.memoryGb;
 }
 
-/** Whether tasks of the job may go to any machine. Only then does a failure to place one apply to other jobs, too. */
+/** Whether the job's tasks may go to any machine. Only such tasks show that no task of their size in the group fits. */
 export function isUnconstrained({ job, machinesToAvoid }: WaitingJob): boolean {
   const { spot, types, zone, oneZone, spread } = job;
   return spot && types === null && zone === null && !oneZone && !spread && machinesToAvoid.size === 0;
