--- a/src/base/loop.ts
+++ b/src/base/loop.ts
@@ -1,4 +1,4 @@
-/** @file Loops that run until they are aborted, also when a step throws. */
+/** @file Loops that run until they are aborted, even if an iteration throws. */
 import type { Clock } from './clock';
 import type { Log } from './log';
 
@@ -6,13 +6,13 @@
 export interface LoopContext {
   readonly clock: Clock;
   readonly log: Log;
-  /** Ends the loop after the current step. */
+  /** When aborted, ends the loop after the current iteration. */
   readonly signal: AbortSignal;
 }
 
 const PAUSE_AFTER_ERROR_MS = 500;
 
-/** Repeats a step until the signal is aborted. An error is logged, and the loop continues after a pause. */
+/** Calls `step` repeatedly until the signal is aborted. An error is logged, and the loop continues after a pause. */
 export async function runLoop(
   name: string,
   step: () => Promise<void>,
--- a/src/base/operator-table.ts
+++ b/src/base/operator-table.ts
@@ -4,8 +4,8 @@
 import { checkSettings, SettingsError } from './settings-schema';
 
 /**
- * Reads and checks a table; undefined when the file has none. `findProblem` checks values that depend on each other, and
- * returns the key at fault with the reason. Throws `SettingsError` with the file and the key.
+ * Reads and checks a table; undefined when the file does not contain it. `findProblem` checks values that depend on
+ * each other, and returns the key at fault with the reason. Throws `SettingsError` with the file and the key.
  */
 export function readOperatorTable<T>(
   name: 'admission' | 'suspicion',
--- a/src/base/settings.ts
+++ b/src/base/settings.ts
@@ -13,7 +13,7 @@
 
 /** The checked settings, and the values derived from them. */
 export interface Settings {
-  /** As the platform provided it, except that `deployment.state` has the effective limits. */
+  /** The settings that the platform provided, except that `deployment.state` has the effective limits. */
   platform: PlatformSettings;
   operator: OperatorSettings;
   /** The name of the operators' file, for messages. */
@@ -122,7 +122,7 @@
   const shardLeaseMs = chooseShardLease(workers, options, files);
   const next = readNextLimits(state.next);
   // Longest time from a cancellation until the shard's owner has seen it or has stopped acting on the shard. The bounds
-  // in `chooseShardLease` keep it so short that `cancellationUncertaintyMs` is at least 2.5 s.
+  // in `chooseShardLease` keep this time so short that `cancellationUncertaintyMs` is at least 2.5 s.
   const cancellationSeenWithinMs = Math.max(shardLeaseMs, LEASE_EXTENSION_MS);
   return {
     platform: {
--- a/src/base/throttling.ts
+++ b/src/base/throttling.ts
@@ -16,7 +16,7 @@
   readonly watchPaceMs: number;
 }
 
-/** With this share of a core or more, nothing is throttled: owners of about 200 and 1,000 machines kept up with it. */
+/** From this share of a core on, the base values apply: with it, owners of about 200 and 1,000 machines kept up. */
 const UNTHROTTLED_CPU = 1 / 8;
 const BASE_ROUND_BUDGET_MS = 40;
 const BASE_ROUND_PAUSE_MS = 200;
@@ -26,7 +26,7 @@
 export function throttlingFor(cpu: number, controllers: number): Throttling {
   const slowdown = Math.max(1, UNTHROTTLED_CPU / cpu);
   return {
-    // One shard pools all free resources; several spread heartbeats, rounds and failovers (docs/EXPERIMENTS.md).
+    // One shard pools all free resources; several shards spread heartbeats, rounds and failovers (docs/EXPERIMENTS.md).
     shards: Math.min(controllers, Math.ceil(slowdown)),
     roundBudgetMs: Math.round(BASE_ROUND_BUDGET_MS * slowdown),
     roundPauseMs: Math.round(BASE_ROUND_PAUSE_MS * slowdown),
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -14,7 +14,7 @@
   return value;
 }
 
-/** Reads JSON from a file, or from standard input where the file is `-`. */
+/** Reads JSON from a file, or from standard input if the file is `-`. */
 function readJson(file: string): unknown {
   const text = readText(file, file === '-' ? 0 : file);
   try {
--- a/src/protocol/http-key-value-store.ts
+++ b/src/protocol/http-key-value-store.ts
@@ -75,7 +75,7 @@
     await this.options.requests.take(1, MAX_TOKEN_WAIT_MS);
     const response = await this.#call('GET', `/store/${key}`, undefined);
     if (response.status === STATUS_NOT_FOUND) {
-      // Checks that the store itself responded: any other 404 would make an accepted job appear unknown.
+      // Only the store's own body proves that a key does not exist; if any 404 did, an accepted job would seem unknown.
       parseBody(response.body, notFoundSchema);
       return null;
     }
@@ -145,8 +145,8 @@
   }
 
   /**
-   * Requests changes. Returns undefined when the response exceeds the client's size limit; the store has no limit.
-   * A retry would get an even larger response, so the controller would never receive another change.
+   * Requests changes. Returns undefined when the response, whose size the store doesn't limit, exceeds the client's
+   * limit: a retry would get an even larger response, so the controller would never receive another change.
    */
   async #callForChanges(path: string, timeoutMs: number): Promise<HttpResponse | undefined> {
     try {
--- a/src/protocol/key-value-store.ts
+++ b/src/protocol/key-value-store.ts
@@ -59,7 +59,7 @@
 export interface KeyValueStore {
   /** Whether the last request failed, so that the key-value store is considered unavailable. */
   readonly isUnavailable: boolean;
-  /** Null when the key does not exist. */
+  /** Returns the entry with the key; null when the key does not exist. */
   get(key: string): Promise<Entry | null>;
   /** Returns one page of the entries under a prefix, in the order of their keys, starting after the given key. */
   list(prefix: string, after?: string): Promise<EntryPage>;
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -33,7 +33,7 @@
 /** A job array as its user described it; the resources are those of one task. Stored with these field names. */
 export interface Job extends Resources {
   id: string;
-  /** The class of jobs that it belongs to; service-level objectives are stated by class. */
+  /** The class of jobs to which this job belongs; service-level objectives are stated by class. */
   jobClass: string;
   /** The team whose guaranteed share and quota apply to the job. */
   team: string;
@@ -48,7 +48,7 @@
   oneZone: boolean;
   /** Whether at most half of the tasks, rounded up, may be in one zone. */
   spread: boolean;
-  /** Whether its tasks may run on spot machines. */
+  /** Whether the job's tasks may run on spot machines. */
   spot: boolean;
   /** The image that a machine must have fetched before a task can run. */
   image: string;
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -113,7 +113,7 @@
   return owner === undefined ? {} : { foreman: owner };
 }
 
-/** The body of a request that sends commands directly to a worker, which executes them only in this incarnation. */
+/** A request body that sends commands directly to a worker, which executes them only in the given incarnation. */
 export function writeCommandRequest(
   fencingToken: number,
   incarnation: number,
--- a/src/transport/bounded-agent.ts
+++ b/src/transport/bounded-agent.ts
@@ -49,8 +49,8 @@
     const maxIdle = this.#maxIdle();
     for (const socket of this.#idle.keys()) {
       if (this.#idle.size <= maxIdle) return;
-      // The socket emits `close` only in a later event-loop turn, so it is removed here. Otherwise, with many responses
-      // in one turn, each call destroyed the same socket again, and idle connections grew far beyond the limit.
+      // Removes the socket from `#idle` now: it emits `close` only in a later event-loop turn. Otherwise, with many
+      // responses in one turn, each `trim` destroyed this socket again, and idle connections far exceeded the limit.
       this.#removeIdle(socket);
       socket.destroy();
     }
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -162,8 +162,8 @@
 
   /**
    * Fails the request, but first reads a response that has already arrived. On a small share of a core, an event-loop
-   * turn may take longer than the timeout, and the next turn runs timers before sockets. Without the delay, a slow
-   * controller would consider all others unresponsive.
+   * turn may take longer than the timeout, and the next turn runs timers before sockets. Without `setImmediate`, a
+   * slow controller would consider all others unresponsive.
    */
   #onTimeout(): void {
     setImmediate(() => {
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -59,7 +59,7 @@
   write(reply: FastifyReply, { status, body, retryAfterS }: HttpReply): void {
     if (retryAfterS !== undefined) reply.header('retry-after', Math.ceil(retryAfterS));
     const bytes = this.encode(body ?? { error: `status ${status}` });
-    // A view without a copy: the framework sends a Buffer unchanged.
+    // Wraps the bytes in a Buffer without copying them: the framework sends a Buffer unchanged.
     const payload = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
     void reply.code(status).header('content-type', MESSAGE_PACK).send(payload);
   }
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -22,7 +22,7 @@
     buffered = buffered.length === 0 ? Buffer.from(chunk) : Buffer.concat([buffered, chunk]);
     while (buffered.length >= LENGTH_BYTES) {
       const length = buffered.readUInt32BE(0);
-      // With corrupt data the length could be huge, and this side would buffer without limit.
+      // With corrupt data the length could be huge, and the receiver would buffer data without limit.
       if (length > maxBytes) throw new Error(`frame of ${length} bytes exceeds the limit`);
       const end = LENGTH_BYTES + length;
       if (buffered.length < end) break;
@@ -40,7 +40,7 @@
   return out;
 }
 
-/** Receives frames from peers. Corrupt data closes only the connection that it came from. */
+/** Receives frames from peers. When a connection delivers corrupt data, only that connection is closed. */
 export function listenForPeers(address: string, onFrame: (bytes: Buffer) => void, log: Log): Server {
   const server = createServer((socket) => {
     void receiveFrames(socket, onFrame, log);
