--- a/src/coordination/autoscaling/autoscaler-shard.ts
+++ b/src/coordination/autoscaling/autoscaler-shard.ts
@@ -13,7 +13,7 @@
   /** Number of machines that send heartbeats and are not yet recorded as up. */
   readonly pendingRegistrations: number;
   leaseCondition(): Condition;
-  /** The tasks that the last round could not place, and a snapshot of the fleet; undefined before they are known. */
+  /** The tasks that the last scheduling round could not place, and a fleet snapshot; undefined until known. */
   scalingInput(isBackedOff: (option: InstanceOption) => boolean): ScalingInput | undefined;
   /** Called when the cloud has confirmed the machine's termination, which ends all tasks on it. */
   onMachineTerminated(machine: Machine): void;
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -22,7 +22,7 @@
     this.#scaleIn = new ScaleIn(owner, context);
   }
 
-  /** Whether this owner rented the machine and it has no record yet. */
+  /** Whether this owner rented the machine and the machine has no record yet. */
   isUnrecorded(id: string): boolean {
     return this.#rentals.isUnrecorded(id);
   }
--- a/src/coordination/autoscaling/cloud-inventory.ts
+++ b/src/coordination/autoscaling/cloud-inventory.ts
@@ -7,11 +7,11 @@
 
 const MIN_POLL_INTERVAL_MS = 6_000;
 /**
- * Minimum interval between reads of the list, per page. A large fleet's list takes many calls, and all controllers
- * share a few calls a second. Reads every six seconds would leave hardly any calls to rent and delete machines.
+ * Minimum interval between reads of the cloud's list, per page. A large fleet's list takes many calls, and all
+ * controllers share a few calls a second. Reads every six seconds would leave hardly any calls to rent and delete machines.
  */
 const MIN_INTERVAL_PER_PAGE_MS = 2_000;
-/** How long the deletion of a machine's record is remembered; the list lags by less than this. */
+/** How long the deletion of a machine's record is remembered; the cloud's list lags by less than this. */
 const DELETION_MEMORY_MS = 120_000;
 
 /**
--- a/src/coordination/autoscaling/rental-recorder.ts
+++ b/src/coordination/autoscaling/rental-recorder.ts
@@ -9,9 +9,9 @@
 import type { FleetMachine, InstanceOption } from './scaling-plan';
 
 const CONFLICT_RETRY_MS = 700;
-/** Longest wait of a step for a new rental. */
+/** Longest time that one call of `step` waits for a new rental. */
 const MAX_WAIT_MS = 1_000;
-/** Small batches leave other writes their share of a low limit on changes. */
+/** Small batches leave room for other writes where the key-value store's limit on changes is low. */
 const MAX_RECORDS_PER_WRITE = 8;
 /** Rentals are recorded only while at most this many machines wait to be recorded as up. */
 const MAX_PENDING_REGISTRATIONS = 12;
@@ -31,8 +31,8 @@
 }
 
 /**
- * Records rented machines in small batches. Because of the limit on changes, recording hundreds of machines takes longer
- * than renting them, and users' requests have to be written in between.
+ * Records rented machines in small batches. Because of the key-value store's limit on changes, recording hundreds of
+ * machines takes longer than renting them, and users' requests have to be written in between.
  */
 export class RentalRecorder {
   readonly #unrecorded = new Map<string, UnrecordedMachine>();
@@ -67,7 +67,7 @@
     }));
   }
 
-  /** Whether this owner rented the machine and it has no record yet. */
+  /** Whether this owner rented the machine and the machine has no record yet. */
   isUnrecorded(id: string): boolean {
     return this.#unrecorded.has(id);
   }
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -7,7 +7,7 @@
 import type { AutoscalerShard } from './autoscaler-shard';
 
 const INTERVAL_MS = 700;
-/** Small batches leave other writes their share of a low limit on changes. */
+/** Small batches leave room for other writes where the key-value store's limit on changes is low. */
 const MAX_RECORDS_PER_DELETE = 20;
 
 /** Releases drained machines, and deletes their records once the cloud has confirmed their termination. */
@@ -20,7 +20,7 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** One step of scale-in; to be run in a loop of its own. */
+  /** Releases drained machines, and deletes the records of terminated ones; to be run in a loop of its own. */
   async step(signal: AbortSignal): Promise<void> {
     await this.context.clock.sleep(INTERVAL_MS, signal);
     if (signal.aborted || !this.owner.entitled) return;
@@ -34,7 +34,7 @@
     const releasable = [...this.owner.machines.values()].filter((machine) => this.#isReleasable(machine));
     if (releasable.length === 0) return;
     const batch = releasable.slice(0, MAX_MACHINES_PER_DELETE);
-    // Whatever the cloud responds, the machines may now disappear at any moment, so they are never used again.
+    // Whatever the cloud responds, the machines may disappear at any time after the call, so they are never used again.
     for (const machine of batch) machine.markReleaseRequested();
     await this.context.cloud.deleteMachines(
       batch.map((machine) => machine.id),
--- a/src/coordination/autoscaling/scale-out.ts
+++ b/src/coordination/autoscaling/scale-out.ts
@@ -51,7 +51,7 @@
     this.#backedOffUntil.set(optionKey(option), this.context.clock.now() + NO_CAPACITY_BACKOFF_MS);
   }
 
-  /** Rents the requested machines in as few calls as the cloud allows; backs off if a call yields too few machines. */
+  /** Rents the requested machines in as few calls as the cloud allows; backs off if a call yields fewer. */
   async #rent(request: ScaleOutRequest, signal: AbortSignal): Promise<void> {
     let left = request.count;
     while (left > 0 && !signal.aborted && this.owner.entitled) {
--- a/src/coordination/autoscaling/scaling-input.ts
+++ b/src/coordination/autoscaling/scaling-input.ts
@@ -14,7 +14,7 @@
 export interface ScalingSource {
   readonly shard: Shard;
   readonly context: ControllerContext;
-  /** The number of tasks that the last round could not place, by job. */
+  /** The number of tasks that the last scheduling round could not place, by job. */
   readonly unplaced: ReadonlyMap<string, number>;
   readonly isBackedOff: (option: InstanceOption) => boolean;
 }
@@ -99,7 +99,7 @@
   return work;
 }
 
-/** Whether the job can't wait until running tasks free resources: its priority is high, or it is due to start soon. */
+/** Whether the job can't wait until running tasks free resources: it has at least high priority, or must start soon. */
 function isUrgent(shard: Shard, table: DispatchTable, maxBootMs: number): boolean {
   if (PRIORITY_RANK[table.job.priority] <= PRIORITY_RANK.high) return true;
   const startSlackMs = shard.startSlackMs(table);
--- a/src/coordination/autoscaling/scaling-plan.ts
+++ b/src/coordination/autoscaling/scaling-plan.ts
@@ -66,7 +66,7 @@
 
 /** The cloud bills a machine for at least this long, so an earlier release saves nothing. */
 const MIN_BILLED_MS = 60_000;
-/** Tasks that may run on spot machines wait for one while their slack is longer than this many boot times. */
+/** Tasks that may run on spot machines wait for a spot machine while their slack is longer than this many boot times. */
 const SPOT_ONLY_SLACK_BOOT_TIMES = 1.5;
 /** Added to the cost of an option for each machine already in its zone, as a fraction of the price. */
 const PENALTY_PER_ZONE_MACHINE = 0.001;
@@ -122,10 +122,10 @@
     this.#freeingCpus = input.freeingCpus;
   }
 
-  /** Assigns each of the tasks to a machine, as far as the options allow. */
+  /** Assigns the job's unplaced tasks to freeing CPUs, booting machines or new ones, as far as the options allow. */
   place(work: UnplacedWork): void {
     const { job } = work;
-    // The counts include placed tasks, which may rule out a zone; otherwise a machine rented there might stay unused.
+    // The counts include placed tasks, which may rule out a zone: a machine rented in that zone might stay unused.
     const zones: ZoneCounts = new Map(work.tasksPerZone);
     let left = work.count - this.#reserveFreeingCpus(work, zones);
     // Free resources only shrink and task counts only grow, so if one task doesn't fit a bin, no later task does.
@@ -173,7 +173,7 @@
     );
   }
 
-  /** The index of the first bin from `start` on that a task of the job fits; the number of bins if there is none. */
+  /** The index of the first bin, from index `start`, with room for a task of the job; the number of bins if none has. */
   #nextBin(job: Job, zones: ZoneCounts, start: number): number {
     let index = start;
     for (; index < this.#bins.length; index += 1) {
@@ -224,7 +224,7 @@
       continue;
     // On-demand machines cost a multiple of spot machines, so tasks with enough slack wait for spot capacity.
     if (!option.spot && job.spot && slackMs > option.type.bootS * 1000 * SPOT_ONLY_SLACK_BOOT_TIMES) continue;
-    // Spreads machines over zones of equal price, so that a zone failure affects fewer of them.
+    // Spreads machines over zones of equal price, so that a zone failure affects fewer machines.
     const cost =
       (priceOf(option) / Math.min(fittingTasks, tasks)) *
       (1 + PENALTY_PER_ZONE_MACHINE * (machinesPerZone.get(option.zone) ?? 0));
--- a/src/coordination/controller-services.ts
+++ b/src/coordination/controller-services.ts
@@ -31,9 +31,9 @@
 
 const STORE_TIMEOUT_MS = 1_500;
 const CLOUD_TIMEOUT_MS = 5_000;
-/** Fraction of the store's rate limits for one controller: more than an equal share, as others use less than theirs. */
+/** Fraction of the store's rate limits for one controller: more than an equal share, as peers use less than theirs. */
 const STORE_RATE_FRACTION = 0.6;
-/** Fraction of the request limit for checks whether a deferred job was accepted; a check takes up to two requests. */
+/** Fraction of the store's request limit for checks if a deferred job was accepted; a check takes up to two requests. */
 const LOOK_UP_RATE_FRACTION = 0.05;
 const CLOUD_RATE_FRACTION = 0.7;
 const CLOUD_BURST = 2;
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -77,12 +77,12 @@
     return this.#components.context.eventLoopDelay;
   }
 
-  /** Adds the latest reported progress of a live job, for display. */
+  /** Adds the latest reported progress to the status of a live job, for display. */
   withProgress(status: JobStatus): JobStatus {
     return this.#components.progress.withProgress(status);
   }
 
-  /** Cancels a job unless it is done, and as many dependents as time allows; the leader cancels the rest. */
+  /** Cancels a job unless it is done, and as many dependents as the time limit allows; the leader cancels the rest. */
   async cancel(id: string): Promise<JobStatus | undefined> {
     const { context, progress, dependentCancellation } = this.#components;
     const { clock, log, dependencies } = context;
--- a/src/coordination/machine-types.ts
+++ b/src/coordination/machine-types.ts
@@ -24,7 +24,7 @@
 
 /**
  * The machine types that the cloud offers. The leader queries the cloud and records the response, so that a controller
- * that starts while the cloud is down can read them, too.
+ * that starts while the cloud is down can read the types, too.
  */
 export class MachineTypes {
   #types: readonly MachineType[] = [];
@@ -41,7 +41,7 @@
     this.#types = readTypes(this.context.cache) ?? this.#types;
   }
 
-  /** One step, to be run in a loop; calls `onRefreshed` when the types from the cloud are recorded. */
+  /** Refreshes the types if this controller leads or has none, and calls `onRefreshed` after that. Run in a loop. */
   async refresh(isLeader: boolean, onRefreshed: () => void, signal: AbortSignal): Promise<void> {
     const { cache, store, clock, cloud, formatGate, settings } = this.context;
     if (!cache.isLoaded) {
--- a/src/coordination/ownership/leader.ts
+++ b/src/coordination/ownership/leader.ts
@@ -17,7 +17,7 @@
   readonly #machineAdoption: MachineAdoption;
   readonly #garbageCollector: RecordGarbageCollector;
 
-  /** `mayBeBoundByGrant`: whether a lease extension that a previous process granted may still be valid. */
+  /** `mayBeBoundByGrant`: whether a lease extension granted by this controller's previous process may be valid. */
   constructor(
     private readonly context: ControllerContext,
     cloud: CloudInventory,
@@ -37,14 +37,14 @@
 
   /**
    * The condition by which a transaction succeeds only while this controller is the leader; undefined when it knows
-   * that it isn't. Callers get a new condition right before each write: if another controller became the leader between
-   * two writes of one step, the version of its record would guarantee nothing.
+   * that it isn't. Callers get a new condition right before each write, since the leader may change between two writes:
+   * the version of another leader's record would guarantee nothing.
    */
   leaderCondition(): Condition | undefined {
     return this.isLeader ? { key: KEY.leader, version: this.context.cache.version(KEY.leader) } : undefined;
   }
 
-  /** Takes part in the election; if elected, performs the leader's duties. Run in a loop and on membership changes. */
+  /** Takes part in the election; if elected, performs the leader's duties. Run in a loop and on record changes. */
   async step(): Promise<void> {
     const { cache, store, session, controllerId } = this.context;
     if (!cache.isLoaded || !session.isValid || session.lease === undefined) return;
--- a/src/coordination/ownership/lease-extension.ts
+++ b/src/coordination/ownership/lease-extension.ts
@@ -6,7 +6,7 @@
 import type { LeaseExtensionGrant, LeaseExtensionRequest, PeerMessage } from '../../protocol/peers';
 import type { ControllerContext } from '../controller-context';
 
-/** The requester stops using a grant this long before it ends. */
+/** A controller stops relying on a peer's grant this long before the grant ends. */
 const SAFETY_MARGIN_MS = 400;
 const REQUEST_INTERVAL_MS = 400;
 /** Number of latest requests for which a late grant is accepted. */
@@ -17,9 +17,9 @@
  *
  * An owner that can't renew its lease can't tell whether the store is unreachable for all controllers or for itself
  * alone. Without an extension it has to stop when its lease ends by its own clock, although in an outage for all no
- * other controller could acquire its shards. It therefore sends a request to all peers. A peer grants it if it can't
- * reach the key-value store either, and then acquires no shard for `LEASE_EXTENSION_MS`. The owner continues only with
- * grants of all peers: one peer that doesn't respond, or that can reach the key-value store, is enough to stop it.
+ * other controller could acquire its shards. It therefore requests an extension from all peers. A peer that can't reach
+ * the key-value store either grants the request, and then acquires no shard for `LEASE_EXTENSION_MS`. The owner goes
+ * on only with grants of all peers: one peer that doesn't respond, or can reach the key-value store, is enough to stop it.
  */
 export class LeaseExtension {
   /** Monotonic send times of the latest requests, by request number. */
@@ -57,7 +57,7 @@
     this.#isAcquiring = false;
   }
 
-  /** Sends a request to all peers if the session is near its expiry and the store is unavailable. Run in a loop. */
+  /** Asks all peers for an extension if the session is near its expiry and the store unavailable. Run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
     const { clock, session, store, controllerId, cache } = this.context;
     await clock.sleep(REQUEST_INTERVAL_MS, signal);
@@ -75,8 +75,8 @@
   onRequest(request: LeaseExtensionRequest): void {
     const { clock, store, cache, controllerId } = this.context;
     if (!store.isUnavailable || this.#isAcquiring || this.#hasLostShard(request.from)) return;
-    // The grant has to list the ended jobs that the requester may have missed, since it receives no change events
-    // during the outage. If this controller no longer remembers all of them, it must not grant the request.
+    // The grant has to list the ended jobs that the requester may have missed, since the requester receives no change
+    // events during the outage. If this controller no longer remembers all these jobs, it must not grant the request.
     const ended = cache.deletedSince(PREFIX.job, request.revision);
     if (!ended) return;
     this.#acquisitionForbiddenUntil = Math.max(
@@ -109,15 +109,15 @@
     session.extendUntil(until);
   }
 
-  /** Monotonic time until which the grants of all peers are valid; -Infinity while one of them has granted nothing. */
+  /** Monotonic time until which the grants of all peers are valid; -Infinity while a peer has granted no request. */
   #grantedUntil(): number {
     const { others } = this.context.settings.platform;
-    // The grants count from the send time of the request, which is before any peer can have granted it.
+    // A grant counts from the send time of its request, because the peer can't have granted the request earlier.
     const oldest = Math.min(...others.map(({ node }) => this.#grantedRequestAt.get(node) ?? -Infinity));
     return oldest + LEASE_EXTENSION_MS * (1 - MAX_CLOCK_DRIFT) - SAFETY_MARGIN_MS;
   }
 
-  /** Whether a shard is assigned to the controller but not leased by it, which the controller may not know yet. */
+  /** Whether the controller lacks the lease of a shard assigned to it; the controller may not know of the loss yet. */
   #hasLostShard(controller: string): boolean {
     const { cache, settings } = this.context;
     for (let shard = 0; shard < shardCount(cache, settings); shard += 1) {
--- a/src/coordination/ownership/lease-relay.ts
+++ b/src/coordination/ownership/lease-relay.ts
@@ -100,7 +100,7 @@
 
   async #deleteRecord(shard: number): Promise<void> {
     const key = this.#key(shard);
-    // Stops responding before it deletes the record: after that, the owner may declare unresponsive workers dead.
+    // Responses stop before the record is deleted: after the deletion, the owner may declare unresponsive workers dead.
     this.#relayed.delete(shard);
     await this.context.store.compareAndSwap(
       [{ key, version: this.context.cache.version(key) }],
@@ -114,10 +114,10 @@
   }
 
   /**
-   * Returns the response to a worker's heartbeat if this controller relays its shard and the machine has attempts. A
-   * session that is valid only by a lease extension is not enough: during an outage of the key-value store no
-   * controller can raise the fencing token. If the relay responded, a delayed start command of the owner could still be
-   * executed after the partition, although its job was cancelled long ago.
+   * Returns the response to a worker's heartbeat if this controller relays the shard, the shard's owner is unreachable,
+   * and the worker reports attempts. A session valid only by a lease extension is not enough: during an outage of the
+   * key-value store no controller can raise the fencing token. If the relay responded, a delayed start command of the
+   * owner could still be executed after the network partition, although the command's job was cancelled long ago.
    */
   respond(heartbeat: WorkerHeartbeat, shard: number): RelayResponse | undefined {
     const { cache, session, controllerId } = this.context;
--- a/src/coordination/ownership/machine-adoption.ts
+++ b/src/coordination/ownership/machine-adoption.ts
@@ -15,7 +15,7 @@
 
 /**
  * Assigns machines without a record to the shard with the fewest machines. Such a machine appears only in the cloud's
- * list, because the response to its rental was lost or the cloud executed the rental late.
+ * list, because the response to its rental request was lost or the cloud executed the rental late.
  */
 export class MachineAdoption {
   /** `leadershipCondition` makes a transaction fail unless this controller is the leader. */
--- a/src/coordination/ownership/owner-candidates.ts
+++ b/src/coordination/ownership/owner-candidates.ts
@@ -4,7 +4,7 @@
 import type { OwnerCandidate } from '../../suspicion/successor';
 import type { ControllerContext } from '../controller-context';
 
-/** The controllers that hold a session, in the order in which they opened it. */
+/** The controllers that hold a session, in the order in which they opened their sessions. */
 export function liveControllers({ cache }: ControllerContext): string[] {
   return [...cache.under(PREFIX.controller)]
     .sort((a, b) => a.version - b.version)
--- a/src/coordination/ownership/record-garbage-collector.ts
+++ b/src/coordination/ownership/record-garbage-collector.ts
@@ -9,8 +9,8 @@
 const MAX_DELETIONS = 8;
 
 /**
- * Minimum time that a dependency part is seen without its job before it is deleted. Parts are written before their job
- * is accepted, and a user repeats a submission for a minute. A part that has no job after this time never gets one.
+ * Minimum time that a dependency part is seen without its job before the part is deleted. Parts are written before the
+ * job is accepted, and a user repeats a submission for a minute. A part without a job after this time never gets one.
  */
 const MIN_ORPHAN_PART_AGE_MS = 120_000;
 
@@ -28,7 +28,7 @@
 /**
  * Finds orphan records in the watch cache, and deletes them. A cancellation leaves the job's completion records behind.
  * The final write of a job leaves a completion record behind if the write of that record got no response, because the
- * owner doesn't know that it exists. Once the job's record is gone, nothing else would ever delete these records.
+ * owner doesn't know that the record exists. Once the job's record is gone, nothing else ever deletes these records.
  */
 export class RecordGarbageCollector {
   /** Monotonic time at which a dependency part was first seen without its job, by the part's key. */
--- a/src/coordination/ownership/shard-acquisition.ts
+++ b/src/coordination/ownership/shard-acquisition.ts
@@ -12,8 +12,8 @@
 const CACHE_POLL_MS = 5;
 
 /**
- * The outcome for one shard. `lost`: this controller's session ended, or the new lease was gone before the watch cache
- * showed it. The step then tries to acquire no other shard.
+ * The outcome of trying to acquire one shard. `lost`: this controller's session ended, or the new lease was gone before
+ * the watch cache showed the lease. No other shard is then tried in the same call of `step`.
  */
 type AcquisitionOutcome = 'acquired' | 'refused' | 'lost';
 
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Releases an owned shard if it is assigned to another controller, or if another controller serves it better. */
+  /** Gives up an owned shard if its lease was lost, or if it is assigned to or served better by another controller. */
   async #reviewOwnership(owner: ShardOwner): Promise<void> {
     const { controllerId, cache, session, store } = this.context;
     const { shard } = owner;
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Deletes a lease of this controller that no `ShardOwner` uses, so that it can be acquired again. Such a lease
-   * remains if an acquisition without a response was applied after all, or if an owner didn't know the lease's version
+   * Deletes a lease of this controller that no `ShardOwner` uses, so that the shard can be acquired again. Such a lease
+   * remains if an acquisition got no response but was applied, or if an owner didn't know the lease's version
    * when it stopped, because a raise of its fencing token got no response. Without the deletion, the controller that
    * the shard is assigned to would wait until this controller's session ends.
    */
@@ -117,7 +117,7 @@
     }
   }
 
-  /** Acquires the lease and a new fencing token in one transaction. */
+  /** Acquires the shard's lease and a new fencing token in one transaction, and then starts the shard's owner. */
   async #acquire(shard: number, record: ShardRecord, sessionLease: number): Promise<AcquisitionOutcome> {
     const { controllerId, cache, session, store, clock, log } = this.context;
     const fencingToken = (read.fencingToken(cache.get(KEY.fencingToken)?.value)?.next ?? 0) + 1;
@@ -172,9 +172,9 @@
   }
 
   /**
-   * Whether this controller may acquire the shard. Lease extensions that it, or a previous process of it, may have
-   * granted forbid this for some time. They can't concern a shard that this controller held last, nor any shard while
-   * no controller has ever held one. Such a shard is acquired at once, because its workers' leases are running out.
+   * Whether this controller may acquire the shard. Lease extensions that this or its previous process may have granted
+   * forbid acquisitions for some time. No extension can concern a shard that this controller held last, or any shard
+   * before the first acquisition of all: such shards are acquired at once, because their workers' leases are running out.
    */
   #mayAcquire({ holder }: ShardRecord): boolean {
     const { cache, controllerId } = this.context;
--- a/src/coordination/ownership/shard-assignment.ts
+++ b/src/coordination/ownership/shard-assignment.ts
@@ -9,7 +9,7 @@
 /** Rebalancing moves a shard only between controllers whose shard counts differ by at least this number. */
 const MIN_IMBALANCE = 2;
 
-/** The plan for one step: return one shard to its last holder at once, or assign the shards that need an owner. */
+/** What one call of `step` does: returns a shard to its last holder at once, or assigns shards that need an owner. */
 type AssignmentPlan =
   | { readonly kind: 'return to holder'; readonly shard: number; readonly holder: string }
   | { readonly kind: 'assign'; readonly unassigned: readonly number[] };
@@ -18,7 +18,7 @@
 export class ShardAssignment {
   /**
    * `leadershipCondition` makes a transaction fail unless this controller is the leader. `mayBeBoundByGrant` tells
-   * whether this process began so recently that a lease extension granted by a previous one may still be valid.
+   * whether this process began so recently that a lease extension granted by the previous one may still be valid.
    */
   constructor(
     private readonly context: ControllerContext,
@@ -45,7 +45,7 @@
     await this.#rebalance(shardCounts);
   }
 
-  /** Plans one step, and adds the shards that keep their owner to `shardCounts`. */
+  /** Plans one call of `step`, and counts the shards that keep their owner in `shardCounts`. */
   #plan(shardCounts: Map<string, number>): AssignmentPlan {
     const { cache, settings } = this.context;
     const unassigned: number[] = [];
@@ -65,8 +65,8 @@
   }
 
   /**
-   * Whether the assigned owner is suspected before it has acquired the shard. Another controller may then be assigned,
-   * because no controller holds the lease, and an acquisition by the suspect fails if the shard's record has changed.
+   * Whether the assigned owner is suspected before it has acquired the shard, and suspicion allows a reassignment. This
+   * is safe: no controller holds the lease, and an acquisition by the suspect fails if the shard's record has changed.
    */
   #isAssignmentStuck(shard: number, { owner }: ShardRecord): boolean {
     const { suspicion, cache, controllerId } = this.context;
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Whether to assign the shard to its last holder. After a restart of all controllers the last holder may acquire it
-   * at once, while lease extensions that the others may have granted forbid them to acquire it for some time.
+   * Whether to assign the shard to its last holder. After a restart of all controllers the last holder may acquire the
+   * shard at once, while lease extensions that other controllers may have granted forbid these to do so for some time.
    */
   #shouldReturnToHolder(
     record: ShardRecord,
@@ -90,7 +90,7 @@
     return this.context.cache.get(KEY.lease(shard)) === undefined;
   }
 
-  /** Moves one shard per step to a controller with fewer shards, for example to one that restarted after a failover. */
+  /** Moves one shard per call to a controller with fewer shards, for example to one that restarted after a failover. */
   async #rebalance(shardCounts: ReadonlyMap<string, number>): Promise<void> {
     const { cache, settings, suspicion } = this.context;
     const byCount = [...shardCounts].sort((a, b) => a[1] - b[1]);
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Writes the owner into the shard's record. False if this controller no longer leads or the record has changed. */
+  /** Writes the owner into the shard's record; false if this controller isn't the leader or the record has changed. */
   async #assign(shard: number, owner: string): Promise<boolean> {
     const { cache, store, log } = this.context;
     const leadership = this.leadershipCondition();
--- a/src/coordination/ownership/shard-handover.ts
+++ b/src/coordination/ownership/shard-handover.ts
@@ -20,7 +20,7 @@
     private readonly reachability: PeerReachability,
   ) {}
 
-  /** Hands the shard over if most of its workers don't reach this controller, but do reach another one. */
+  /** Hands the shard over if most of its workers don't reach this controller, but reach another controller. */
   async handOverIfUnreachable(owner: ShardOwner): Promise<void> {
     const { shard } = owner;
     const { machines, unreachable } = owner.workerReachability();
@@ -37,7 +37,7 @@
   /**
    * Hands the shard over if this controller is slow, or most peers don't receive its heartbeats: it stops the owner,
    * waits for the responses to commands in flight, and assigns the successor in the transaction that deletes the lease.
-   * That takes far less time than the expiry of the lease, for which the peers would otherwise have to wait.
+   * The handover takes far less time than the expiry of the lease, for which the peers would otherwise have to wait.
    */
   async handOverIfPlanned(owner: ShardOwner): Promise<void> {
     const { suspicion, log } = this.context;
@@ -56,7 +56,7 @@
     handover.recordStep('successor named', { successor });
   }
 
-  /** Waits for the responses to commands in flight. The successor confirms the attempts of unanswered commands. */
+  /** Waits briefly for responses to commands in flight. The successor confirms the attempts of unanswered commands. */
   async #drain(owner: ShardOwner): Promise<void> {
     const { clock, session } = this.context;
     const until = clock.now() + DRAIN_TIMEOUT_MS;
--- a/src/coordination/readiness.ts
+++ b/src/coordination/readiness.ts
@@ -34,9 +34,9 @@
   }
 
   /**
-   * Whether the load balancer should send users here. A controller that alone can't reach the key-value store is not
-   * ready; if no controller can, it stays ready, because others could not help either. A controller that also receives
-   * no heartbeats from its peers is probably partitioned, and is not ready.
+   * Whether the load balancer should send users to this controller. A controller that alone can't reach the key-value store
+   * is not ready; if no controller can, it stays ready, because others could not help either. A controller that also
+   * receives no heartbeats from its peers is probably partitioned, and is not ready.
    */
   get isReady(): boolean {
     if (!this.isInitialized) return false;
@@ -45,7 +45,7 @@
     if (this.isViewFresh || settings.platform.others.length === 0) return true;
     if (clock.now() - reachability.lastHeartbeatAt > PEER_HEARTBEAT_TIMEOUT_MS) return false;
     // Controllers detect the same outage at different times, and after each removal the load balancer readmits a
-    // controller more slowly. So this one stays ready unless a peer's view stays fresh beyond the detection spread.
+    // controller more slowly. So this controller stays ready unless a peer's view is fresh beyond the detection spread.
     return reachability.lastFreshHeartbeatAt < cache.freshAt + MAX_VIEW_AGE_MS + OUTAGE_DETECTION_SPREAD_MS;
   }
 }
--- a/src/coordination/record-changes.ts
+++ b/src/coordination/record-changes.ts
@@ -12,7 +12,7 @@
   PREFIX.admissionFlow,
 ] as const;
 
-/** Whether a change of the record needs no step of the leader or of shard acquisition. */
+/** Whether a change of the record wakes neither the leader's loop nor the shard acquisition loop. */
 function wakesNoLoop(key: string): boolean {
   return (
     isCompletionKey(key) ||
--- a/src/coordination/routes.ts
+++ b/src/coordination/routes.ts
@@ -69,7 +69,7 @@
     return response instanceof Promise ? response.then(replyToWorker) : replyToWorker(response);
   }
 
-  /** The status of an accepted job, even if a repeated submission is invalid or no machine type fits; else the refusal. */
+  /** The reply to an invalid or infeasible submission: the status if the job was accepted before, else the refusal. */
   async #existingStatusOr(id: string, refusal: HttpReply): Promise<HttpReply> {
     const status = await this.controller.jobs.find(id);
     return status ? replyWithStatus(this.controller.withProgress(status)) : refusal;
@@ -89,7 +89,7 @@
     {
       method: 'GET',
       url: '/peers',
-      // Handled like the health probe, because operators request it during failures.
+      // Handled like the health probe, because operators request the peers report during failures.
       use: 'health',
       handle: () => handlers.peers(),
     },
