--- a/src/bookkeeping/admission-policy.ts
+++ b/src/bookkeeping/admission-policy.ts
@@ -25,7 +25,7 @@
   termsFor(job: Job): Promise<AdmissionTerms>;
   /** Takes a token for a check whether a deferred job was accepted before. False: the rate limit forbids the check. */
   allowsLookUp(): Promise<boolean>;
-  /** Reads again the records whose conditions in the terms failed. True: some did, so the terms may have changed. */
+  /** Reads again the records whose conditions in the terms failed. True: there were any, so the terms may have changed. */
   refresh(terms: AdmissionTerms, failedKeys: readonly string[]): Promise<boolean>;
   /** Called after the transaction with this revision has accepted a job on these terms. */
   onAccepted(terms: AdmissionTerms, revision: number): void;
--- a/src/bookkeeping/bitmap.ts
+++ b/src/bookkeeping/bitmap.ts
@@ -19,7 +19,7 @@
     return ((this.#bits[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
   }
 
-  /** Sets a bit. True: it was not set before. */
+  /** Sets a bit. True: the index is in the bitmap, and the bit was not set before. */
   set(index: number): boolean {
     if (index < 0 || index >= this.size || this.has(index)) return false;
     this.#bits[index >> 3] = (this.#bits[index >> 3] ?? 0) | (1 << (index & 7));
@@ -40,7 +40,7 @@
     return bytes.toString('base64');
   }
 
-  /** Sets the bits of a base64 string that begins with bit `first`; returns the indexes of newly set bits. */
+  /** Sets the bits set in a base64 string whose first bit is bit `first` of the bitmap; returns newly set indexes. */
   merge(first: number, encoded: string): number[] {
     const bytes = Buffer.from(encoded, 'base64');
     const added: number[] = [];
--- a/src/bookkeeping/completion-records.ts
+++ b/src/bookkeeping/completion-records.ts
@@ -2,14 +2,14 @@
  * @file The records that hold a job's completions. There are two layouts:
  *
  * - chunks, `live/done/JOB/CHUNK`, of 65,536 tasks each: the only layout in record format 1;
- * - parts, `live/bits/JOB/FIRST-END`, as long as the limit on values allows, for jobs whose chunks don't fit it.
+ * - parts, `live/bits/JOB/FIRST-END`, as long as the limit on values allows, for jobs whose chunks exceed it.
  *
  * One job may have records of both layouts and parts of different lengths at the same time: a task is done if its bit is
  * set in any of them. A part's key contains its range, so a part never replaces one of another length.
  */
 import { KEY, PREFIX, read } from './records';
 
-/** Part of the stored format, because it determines which tasks a chunk covers. */
+/** The tasks of a chunk. The number is part of the stored format, as it determines which tasks a chunk covers. */
 export const TASKS_PER_CHUNK = 65_536;
 /** Bytes of a value that are reserved for the JSON around the bits. */
 const OVERHEAD_BYTES = 64;
--- a/src/bookkeeping/dependency-records.ts
+++ b/src/bookkeeping/dependency-records.ts
@@ -9,14 +9,14 @@
 
 /** Bytes of a value that are reserved for the JSON around the list of dependencies. */
 const RESERVED_BYTES = 128;
-/** The comma between two elements of a list. */
+/** The size of the comma between two elements of a list. */
 const SEPARATOR_BYTES = 1;
 /** The protocol's limit on the body of a transaction, minus a reserve for keys. */
 const MAX_TRANSACTION_BYTES = 48 * 1024;
 
 /** The key-value store's limit on conditions is this multiple of its limit on changes. */
 const CONDITIONS_PER_CHANGE = 4;
-/** The number of conditions of an acceptance that concern the job's own records. */
+/** The number of conditions on a job's own records in the transaction that accepts the job. */
 const RESERVED_CONDITIONS = 2;
 
 /** Splits a list of job ids so that each part fits a value of the key-value store. */
@@ -95,7 +95,7 @@
   return { record: { job: rest, submittedAt, dependencyParts: parts.length }, conditions };
 }
 
-/** Writes the parts that aren't stored yet, and returns the version of each. */
+/** Writes the parts of a list of dependencies that aren't stored yet; returns the versions of all parts. */
 async function writeParts(
   id: string,
   parts: readonly string[][],
--- a/src/bookkeeping/dependency-tracker.ts
+++ b/src/bookkeeping/dependency-tracker.ts
@@ -61,7 +61,7 @@
     return this.graph.isReady(id);
   }
 
-  /** Whether a dependency is live in the watch cache. If so, no owner with this or an older cache has started the job. */
+  /** Whether a dependency is live in the watch cache. If so, no owner with this cache or an older one started the job. */
   hasLiveDependency(id: string): boolean {
     return this.graph.dependenciesOf(id).some((dependency) => this.cache.get(KEY.job(dependency)));
   }
@@ -149,7 +149,7 @@
     this.#wake.wake();
   }
 
-  /** One step: reads outcomes that were not read yet. To be run in a loop. */
+  /** Reads outcomes of dependencies that were not read yet. Run in a loop. */
   async step(): Promise<void> {
     await this.#wake.wait(RETRY_INTERVAL_MS);
     // While the watch cache is loading, a missing live record doesn't mean that the dependency has ended.
@@ -161,7 +161,7 @@
       const batch = unread
         .slice(from, from + MAX_CONCURRENT_READS)
         .filter((id) => this.#unreadOutcomes.has(id));
-      // A failed read must not delay the others; the next step retries it.
+      // A failed read must not delay the others; the next call of `step` retries it.
       await Promise.allSettled(batch.map((id) => this.finals.read(id)));
     }
   }
--- a/src/bookkeeping/dependent-cancellation.ts
+++ b/src/bookkeeping/dependent-cancellation.ts
@@ -28,7 +28,7 @@
 export class DependentCancellation {
   constructor(private readonly context: CancellationContext) {}
 
-  /** One step: cancels pending jobs if this controller is the leader. To be run in a loop. */
+  /** Cancels the jobs whose cancellation is pending if this controller is the leader. Run in a loop. */
   async step(isLeader: () => boolean): Promise<void> {
     await this.context.clock.sleep(CHECK_INTERVAL_MS);
     if (isLeader()) await this.cancelPending();
@@ -60,8 +60,8 @@
     const { store, jobs } = this.context;
     const { conditions, changes } = cancellationTransaction(cancellations);
     const result = await store.compareAndSwap(conditions, changes);
-    // A failed condition means that one of the jobs has ended meanwhile. The watch delivers that change, and the next step
-    // retries the other jobs.
+    // A failed condition means that one of the jobs has ended meanwhile. The watch delivers that change, and the next
+    // call of `step` retries the other jobs.
     if (!result.ok) return;
     for (const cancellation of cancellations) jobs.onCancelled(cancellation, result.revision);
   }
--- a/src/bookkeeping/final-states.ts
+++ b/src/bookkeeping/final-states.ts
@@ -62,7 +62,7 @@
     const entry = await this.store.get(KEY.final(id));
     if (!entry) return undefined;
     const final = read.final(entry.value);
-    // A job with a malformed final record was accepted, so `undefined` would be wrong.
+    // A job with a malformed final record was accepted, so `undefined`, which means that there is no record, is wrong.
     if (!final) throw new NoResponseError(`the final record of ${id} is malformed`, false);
     return { status: this.add(id, final), entry };
   }
--- a/src/bookkeeping/format-gate.ts
+++ b/src/bookkeeping/format-gate.ts
@@ -35,7 +35,7 @@
 
   constructor(private readonly context: FormatGateContext) {}
 
-  /** One step: writes this controller's format record, and logs the progress of the upgrade. To be run in a loop. */
+  /** Writes this controller's format record, and logs the progress of the upgrade. Run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
     if (!this.#isRecordWritten) this.#isRecordWritten = await this.writeFormatRecord();
     this.#logProgress();
@@ -89,7 +89,7 @@
     return true;
   }
 
-  /** Writes this controller's format record, unless it is stored already. True: it is stored now. */
+  /** Writes this controller's format record, unless it is stored already. True: the record is stored now. */
   async writeFormatRecord(): Promise<boolean> {
     const key = KEY.format(this.context.controllerId);
     const entry = await this.context.store.get(key);
--- a/src/bookkeeping/job-acceptance.ts
+++ b/src/bookkeeping/job-acceptance.ts
@@ -18,7 +18,7 @@
 import { SubmittedDependencies } from './submitted-dependencies';
 import type { WatchCache } from './watch-cache';
 
-/** Maximum number of transactions tried to accept a job; it is tried again if the admission terms may have changed. */
+/** Maximum number of transactions tried to accept a job; another is tried if the admission terms may have changed. */
 const MAX_ADMISSION_TRIES = 5;
 
 /** The services and limits that `JobAcceptance` uses. */
@@ -113,7 +113,7 @@
     return false;
   }
 
-  /** Writes the record in one transaction with the terms. Undefined: there was no response. */
+  /** Writes a job's record in one transaction with the admission terms. Undefined: the store did not respond. */
   async #write(
     record: JobRecord,
     partConditions: readonly Condition[],
@@ -127,7 +127,7 @@
       return await this.context.store.compareAndSwap(conditions, changes);
     } catch (error) {
       if (!(error instanceof NoResponseError)) throw error;
-      // The write may have succeeded, so the caller reads the job. If it succeeds later, the user's retry finds the job.
+      // The write may have succeeded, so the caller reads the job. If the write succeeds later, a retry finds the job.
       return undefined;
     }
   }
--- a/src/bookkeeping/records.ts
+++ b/src/bookkeeping/records.ts
@@ -42,7 +42,7 @@
   done: (id: string, chunk: number) => `live/done/${id}/${chunk}`,
   /** Completions of the tasks from `first` to `end` (exclusive). */
   bits: (id: string, first: number, end: number) => `live/bits/${id}/${first}-${end}`,
-  /** Present while `controller` relays leases in the shard, for workers that reach this controller but not the owner. */
+  /** Present while `controller` relays leases in the shard, for workers that reach it but not the owner. */
   relay: (shard: number, controller: string) => `live/keep/${shard}/${controller}`,
   /** The admission epoch. */
   admission: 'live/admission',
@@ -89,7 +89,7 @@
   type: z.string(),
   zone: z.string(),
   spot: z.boolean(),
-  /** Whether it is up: set before the worker gets its first response, so a machine that isn't up has no tasks. */
+  /** Whether the machine is up: set before the worker gets its first response, so a machine that isn't up has no tasks. */
   up: z.boolean(),
   /** Wall-clock time of the rental or, for an adopted machine, of the adoption; used only for the machine's age. */
   rentedAt: z.number(),
@@ -97,7 +97,7 @@
 const finalRecord = z.object({
   state: z.enum(['done', 'cancelled']),
   done: count,
-  /** Wall-clock time of the end, in milliseconds; not part of record format 1. */
+  /** Wall-clock time of the job's end, in milliseconds; not part of record format 1. */
   endedAt: z.number().optional(),
 });
 const dependencyPartRecord = z.object({ dependencies: z.array(z.string()) });
--- a/src/bookkeeping/session.ts
+++ b/src/bookkeeping/session.ts
@@ -49,7 +49,7 @@
 
   get #validByOwnLeaseUntil(): number {
     const { cache, ttlMs } = this.context;
-    // The lease counts from the time at which the renewal was sent. The age of the watch cache is limited in the same way,
+    // The validity counts from the time at which the last renewal was sent. The watch cache's age has the same limit,
     // because a cache that is older than the lease could lack a cancellation.
     const base = Math.min(this.#renewedAt, cache.freshAt);
     return base + ttlMs * (1 - MAX_CLOCK_DRIFT) - STOP_MARGIN_MS;
@@ -61,14 +61,14 @@
   }
 
   /**
-   * Extends the validity to `until`. Before that time no peer acquires anything that this controller holds, because all
-   * peers granted a lease extension. Has no effect on a session that is no longer valid.
+   * Extends the validity of the session to `until`. Before that time no peer acquires anything that this controller
+   * holds, because all peers granted a lease extension. Has no effect on a session that is no longer valid.
    */
   extendUntil(until: number): void {
     if (this.isValid) this.#extendedUntil = Math.max(this.#extendedUntil, until);
   }
 
-  /** Whether less than half the time to live is left, because the key-value store doesn't respond. */
+  /** Whether less than half the lease's time to live is left, as happens if the key-value store doesn't respond. */
   get isNearExpiry(): boolean {
     const { clock, ttlMs } = this.context;
     return this.#lease !== undefined && this.validUntil - clock.now() < ttlMs / 2;
@@ -79,7 +79,7 @@
     return this.context.clock.now() < this.validUntil;
   }
 
-  /** One step: gets a lease, or renews it. To be run in a loop. */
+  /** Gets a lease, or renews the current one. Run in a loop. */
   async step(signal: AbortSignal): Promise<void> {
     const { cache, clock, ttlMs } = this.context;
     if (!cache.isLoaded) {
@@ -96,7 +96,7 @@
     const key = KEY.controller(controllerId);
     const previous = read.controller((await store.get(key))?.value);
     if (previous) {
-      // This process replaced the previous process of this controller, which has ended. The old lease is revoked, so
+      // This process replaced the previous process of this controller, which has ended. The previous lease is revoked, so
       // that other controllers don't have to wait for its expiry.
       await store.revokeLease(previous.lease);
       log.info({ lease: previous.lease }, 'controller lease of the previous process revoked');
--- a/src/bookkeeping/type-records.ts
+++ b/src/bookkeeping/type-records.ts
@@ -92,7 +92,7 @@
   return { edition: first.edition, of: first.of, types };
 }
 
-/** Splits the list so that each part fits; undefined if a single type doesn't. */
+/** Splits the list of types into parts of up to `bytes` bytes; undefined if a single type is larger. */
 function splitTypes(types: readonly MachineType[], bytes: number): MachineType[][] | undefined {
   const lists: MachineType[][] = [];
   let list: MachineType[] = [];
--- a/src/bookkeeping/watch-cache.ts
+++ b/src/bookkeeping/watch-cache.ts
@@ -45,7 +45,7 @@
     return this.#revision;
   }
 
-  /** Monotonic time at which the last successful request was sent: the cache contains everything written before it. */
+  /** Monotonic time at which the last successful request was sent: the cache contains all earlier changes. */
   get freshAt(): number {
     return this.#freshAt;
   }
@@ -80,7 +80,7 @@
     return this.#loaded ? this.#deletions.since(prefix, revision) : undefined;
   }
 
-  /** One step: loads the cache, or watches for changes once. To be run in a loop. */
+  /** Loads the cache, or watches for changes once. Run in a loop. */
   async step(): Promise<void> {
     if (!this.#loaded) {
       await this.#load();
@@ -132,7 +132,7 @@
       if (!page.hasMore || after === undefined) break;
     }
     this.#deleteUnlisted(listedKeys, firstRevision);
-    // Pages are read at different revisions. The watch continues from that of the first page, so it misses no change.
+    // Pages are read at different revisions. The watch starts at the first page's revision, so it misses no change.
     this.#revision = firstRevision;
     this.#deletions.startAt(firstRevision);
     this.#freshAt = sentAt;
--- a/src/coordination/scheduling/chain-urgency.ts
+++ b/src/coordination/scheduling/chain-urgency.ts
@@ -17,7 +17,7 @@
   readonly priority: Priority;
   /** Wall-clock time of the job's own deadline; undefined if it has none. */
   readonly dueAt: number | undefined;
-  /** The estimated run time of one of its tasks. */
+  /** The estimated run time of one of the job's tasks. */
   readonly expectedRunMs: number;
 }
 
--- a/src/coordination/scheduling/consolidation-pass.ts
+++ b/src/coordination/scheduling/consolidation-pass.ts
@@ -18,7 +18,7 @@
 /** The least estimate of a task's remaining run time, as a share of its elapsed run time. */
 const MIN_REMAINING_SHARE = 0.3;
 
-/** Checkpoints the tasks of underused machines, which continue elsewhere, so that the machines can be released. */
+/** Moves tasks, by checkpoints, from underused machines to others, so that the underused machines can be released. */
 export class ConsolidationPass {
   #lastRunAt = -Infinity;
 
@@ -28,7 +28,7 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** Drains machines if the interval has passed and no task waits for the resources that moved tasks would occupy. */
+  /** Drains machines if `INTERVAL_MS` has passed and no task waits for the resources that moved tasks would occupy. */
   runIfDue(now: number, isBacklogEmpty: boolean): void {
     if (now - this.#lastRunAt < INTERVAL_MS) return;
     this.#lastRunAt = now;
--- a/src/coordination/scheduling/consolidation.ts
+++ b/src/coordination/scheduling/consolidation.ts
@@ -37,9 +37,9 @@
 const MIN_GAIN_S = 15;
 /** The least ratio of a drain's gain to its cost: the moved tasks write checkpoints and fetch their images again. */
 const MIN_GAIN_TO_COST = 2;
-/** How many machines one pass may drain in a small fleet. */
+/** How many machines one consolidation pass may drain in a small fleet. */
 const MAX_DRAINED_SMALL_FLEET = 4;
-/** How many machines one pass may drain in a large fleet, as a share of its machines. */
+/** How many machines one consolidation pass may drain in a large fleet, as a share of the fleet's machines. */
 const MAX_DRAINED_SHARE = 0.02;
 
 /**
@@ -57,13 +57,13 @@
   readonly targetFree: Resources;
 }
 
-/** The state of one planning pass: free resources change with each machine that is chosen. */
+/** The state of one consolidation pass: free resources change with each machine that is chosen to be drained. */
 class ConsolidationPlanner {
   /** The free resources of each machine; machines that are to be drained are removed. */
   readonly #freeByMachine: Map<string, Resources>;
   /** Machines to which tasks may move: spot machines before on-demand machines, the most utilized first. */
   readonly #targets: readonly ConsolidationCandidate[];
-  /** Machines that are targets of planned moves. They can't be drained in this pass. */
+  /** Machines that are targets of planned moves. They can't be drained in the same consolidation pass. */
   readonly #chosenTargets = new Set<string>();
   #spareCpus: number;
 
--- a/src/coordination/scheduling/constraints.ts
+++ b/src/coordination/scheduling/constraints.ts
@@ -11,7 +11,7 @@
   readonly spot: boolean;
 }
 
-/** Whether the needs fit into the free resources. */
+/** Whether the needed resources fit into the free resources. */
 export function fitsInto(needs: Resources, free: Resources): boolean {
   return (
     needs.cpus <= free.cpus + RESOURCE_TOLERANCE &&
--- a/src/coordination/scheduling/eager-reissue.ts
+++ b/src/coordination/scheduling/eager-reissue.ts
@@ -64,7 +64,7 @@
           machine.unresponsiveSince ?? Infinity,
         ),
         isBusy: machine.isBusy,
-        // This machine did not respond to a probe. Jobs from before the failover are not placed until it is confirmed.
+        // The machine did not respond to a probe. Until it is confirmed, no job accepted before the failover is placed.
         blocksShard: !machine.isConfirmed && machine.isLastCommandUnanswered,
       });
     }
--- a/src/coordination/scheduling/eager.ts
+++ b/src/coordination/scheduling/eager.ts
@@ -27,13 +27,13 @@
 export interface UnresponsiveMachinesResult {
   /** Machines whose tasks should be evicted and re-issued, the longest unresponsive first. */
   toEvictFrom: string[];
-  /** Machines to release: the quickest way to confirm that their tasks have ended. */
+  /** Machines to release, because a release is the quickest way to confirm that their tasks have ended. */
   toRelease: string[];
 }
 
 /** Up to this many unresponsive machines, in one zone or in all zones together, count as independent failures. */
 const MAX_INDEPENDENT_FAILURES = 2;
-/** If unresponsive machines exceed `MAX_INDEPENDENT_FAILURES` and this share, a partition on our side is assumed. */
+/** If more machines than `MAX_INDEPENDENT_FAILURES` and this share are unresponsive, a network partition is assumed. */
 const PARTITION_SHARE = 0.3;
 
 /** Chooses the unresponsive machines that probably failed and were not partitioned, and which of them to release. */
@@ -65,7 +65,7 @@
   return sinceHeartbeatMs(machine, input) > limitMs;
 }
 
-/** The unresponsive machines, without those that a network partition may separate from us. */
+/** The unresponsive machines, without those that a network partition may separate from this controller. */
 function excludePartitioned(
   unresponsive: readonly MonitoredMachine[],
   all: readonly MonitoredMachine[],
--- a/src/coordination/scheduling/job-queue.ts
+++ b/src/coordination/scheduling/job-queue.ts
@@ -6,20 +6,20 @@
 export interface WaitingJob {
   readonly job: Job;
   readonly waitingTasks: number;
-  /** The number of its tasks that run, or may run, in each zone. */
+  /** The number of the job's tasks that run, or may run, in each zone. */
   readonly tasksPerZone: ReadonlyMap<string, number>;
-  /** How long its tasks can still wait without missing the due time; negative if the job is already late. */
+  /** How long the job's tasks can still wait without missing the due time; negative if the job is already late. */
   readonly slackMs: number;
-  /** CPU seconds that its tasks still need. */
+  /** CPU seconds that the job's tasks still need. */
   readonly remainingCpuS: number;
   readonly machinesToAvoid: ReadonlySet<string>;
-  /** The estimated run time of one of its tasks. */
+  /** The estimated run time of one of the job's tasks. */
   readonly expectedRunS: number;
-  /** Whether it has waited so long that it also gets a boosted queue entry. */
+  /** Whether the job has waited so long that it also gets a boosted queue entry. */
   readonly isBoosted: boolean;
-  /** Whether any of its tasks has been issued or is done. */
+  /** Whether any of the job's tasks has been issued or is done. */
   readonly hasStarted: boolean;
-  /** Wall-clock time since which it waits for machines: its submission, or the end of its last dependency. */
+  /** Wall-clock time since which the job waits for machines: its submission, or the end of its last dependency. */
   readonly submittedAt: number;
 }
 
@@ -34,7 +34,7 @@
 
 /**
  * Builds the queue in placement order. Boosted entries come first. The others are ordered by priority, then guaranteed
- * before regular ones. Of equal rank, jobs that can still be in time come first, by the least slack. Late jobs follow, by
+ * before regular ones. Of equal rank, jobs that can end in time come first, by the least slack. Late jobs follow, by
  * the least remaining work, because that serves most users. Boosted entries keep the largest late jobs from starving.
  */
 export function orderQueue(
--- a/src/coordination/scheduling/machine-retirement.ts
+++ b/src/coordination/scheduling/machine-retirement.ts
@@ -4,7 +4,7 @@
 import type { DrainReason, Machine } from '../shard/machine';
 import type { Shard } from '../shard/shard';
 
-/** Time from the expiry of its worker's lease until an unresponsive machine is drained, as a partition may end first. */
+/** Time from the expiry of a worker's lease until the unresponsive machine is drained; a partition may end before. */
 const GIVE_UP_AFTER_LEASE_MS = 20_000;
 
 /** The monotonic times after which an unusable machine is drained. */
@@ -43,7 +43,7 @@
   /**
    * Drains unreachable machines with cancelled tasks, because their release confirms that these tasks have ended. They
    * are drained even if so many machines are unresponsive that a partition is assumed, or if other controllers relay the
-   * leases: a stalled worker receives neither a relay's commands nor ours.
+   * leases: a stalled worker receives no commands from a relay or the owner.
    */
   #drainUnreachableWithCancelledTasks(now: number): void {
     const { heartbeatTimeoutMs } = this.shard.timing;
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -10,7 +10,7 @@
 export interface PlacementCandidate extends MachineSnapshot {
   /** Sizes of the cached images in GB, by image. */
   readonly cachedImages: ReadonlyMap<string, number>;
-  /** The estimated time until its current tasks have ended; 0 if it is idle. */
+  /** The estimated time until the machine's current tasks have ended; 0 if the machine is idle. */
   readonly busyForS: number;
 }
 
@@ -140,7 +140,7 @@
     return { waiting, job, kind, quota, usage, tasksPerZone, tasksLeft };
   }
 
-  /** Whether the job has a task left, and its team's limits and the kind of the queue entry allow to place it. */
+  /** Whether the job has a task left, and its team's limits and the kind of the queue entry allow placing a task. */
   #mayPlaceAnother({ job, kind, quota, usage, tasksLeft }: EntryState): boolean {
     return (
       tasksLeft > 0 &&
@@ -151,7 +151,7 @@
   }
 
   /**
-   * Fills the machines with tasks of the job in order of score. Scores are computed once for the job, not for each task:
+   * Fills the machines, highest score first, with tasks of the job. Scores are computed once for the job, not per task:
    * a placed task leaves fewer free resources on its machine, so the machine is no worse for the next task of the job.
    */
   #placeJob(entryState: EntryState): void {
@@ -207,7 +207,7 @@
     }
   }
 
-  /** Reserves a machine for a boosted job that fits nowhere. Otherwise small tasks would fill each gap before it fits. */
+  /** Reserves a machine for a boosted job that fits nowhere. Otherwise small tasks would fill each gap first. */
   #reserveMachine(entryState: EntryState): void {
     const machine = this.#earliestIdleMachine(entryState);
     if (machine === undefined) return;
--- a/src/coordination/scheduling/preemption-pass.ts
+++ b/src/coordination/scheduling/preemption-pass.ts
@@ -18,12 +18,12 @@
 
 /** A task is not preempted if it should end within this time plus its checkpoint time. */
 const NEARLY_DONE_S = 5;
-/** The least time between two passes: a pass examines all running tasks, and evicted tasks take seconds to exit. */
+/** The least time between preemption passes: each examines all running tasks, and evicted tasks exit after seconds. */
 const MIN_INTERVAL_MS = 250;
-/** The least time between two passes, as a multiple of the time from the start of the round to the end of its pass. */
+/** The least time between two preemption passes, as a multiple of the time from a round's start to its pass's end. */
 const MIN_INTERVAL_PER_ROUND_TIME = 10;
 
-/** Preempts tasks for unplaced jobs. The intervals limit the share of the shard owner's time that passes take. */
+/** Preempts tasks for unplaced jobs. The intervals limit the share of the shard owner's time that preemption takes. */
 export class PreemptionPass {
   #nextRunAt = -Infinity;
 
@@ -33,7 +33,7 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** Evicts tasks for the unplaced jobs of the queue, unless the last pass was too recent. */
+  /** Evicts tasks for the unplaced jobs of the queue, unless the last preemption pass was too recent. */
   runIfDue(
     queue: readonly QueueEntry[],
     unplaced: ReadonlyMap<string, number>,
@@ -54,7 +54,7 @@
   ): void {
     const usage = this.shard.usageByTeam();
     const jobs = this.#jobsThatMayPreempt(queue, unplaced, usage);
-    // Usually no job may preempt. This saves examining all running tasks, a tenth of the owner's time (docs/PERFORMANCE.md).
+    // Usually no job may preempt. Not examining all running tasks saves a tenth of the owner's time (docs/PERFORMANCE.md).
     if (jobs.length === 0) return;
     const input = { unplaced: jobs, machines: this.#observe(now), quotas: this.shard.teams, usage };
     for (const { key, machine } of choosePreemptions(input, timeIsUp).victims) {
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -16,9 +16,9 @@
 export interface PreemptibleTask {
   readonly key: string;
   readonly job: Job;
-  /** Seconds of run time that evicting it now would lose, including the time to write a checkpoint. */
+  /** Seconds of run time that evicting the task now would lose, including the time to write a checkpoint. */
   readonly lossS: number;
-  /** Whether it is already being evicted, so that its resources will become free. */
+  /** Whether the task is already being evicted, so that its resources will become free. */
   readonly isBeingEvicted: boolean;
 }
 
@@ -134,7 +134,7 @@
     return unplacedCount;
   }
 
-  /** One pass over all machines, the least loss first. A machine is examined again only after a task was placed there. */
+  /** Preempts machine by machine, least loss first. A machine is examined again only after a task was placed there. */
   #preemptInOnePass(waiting: WaitingJob, count: number): number {
     const { job } = waiting;
     let unplacedCount = count;
@@ -192,7 +192,7 @@
     return this.#isAllowedByGuarantee(waiting, victim.job);
   }
 
-  /** Whether the waiting task fits its team's guarantee, and the victim's team uses its own fully without the victim. */
+  /** Whether the waiting task fits its team's guarantee, and the victim is fully beyond that of its own team. */
   #isAllowedByGuarantee(waiting: Job, victim: Job): boolean {
     if (victim.team === waiting.team) return false;
     const waitingQuota = this.input.quotas.get(waiting.team);
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -44,7 +44,7 @@
     return this.#placement.unplaced;
   }
 
-  /** Runs the passes over all machines. They need not run in every round. */
+  /** Runs the scheduling passes that examine all machines; they need not run in every round. */
   runPeriodicTasks(now: number): void {
     this.#leaseExpiry.assumeRenewedIfRelayed(now);
     evictBeforeSpotNotices(this.shard, this.attempts, now);
--- a/src/coordination/scheduling/spot-notices.ts
+++ b/src/coordination/scheduling/spot-notices.ts
@@ -26,7 +26,7 @@
   const { job, isRunning, remainingMs, untilInterruptionMs } = task;
   if (isRunning && remainingMs < untilInterruptionMs - NOTICE_MARGIN_MS) return { kind: 'continue' };
   const graceS = job.checkpointS > 0 && isRunning ? job.saveS : 0;
-  // A task that can write a checkpoint runs on until it has to begin writing. Any other task is re-issued at once.
+  // A task that can write a checkpoint runs on until it has to begin writing. A task that can't is re-issued at once.
   if (graceS > 0 && untilInterruptionMs > job.saveS * 1000 + 2 * NOTICE_MARGIN_MS)
     return { kind: 'continue' };
   return { kind: 'evict', graceS };
--- a/src/coordination/scheduling/unplaceable-sizes.ts
+++ b/src/coordination/scheduling/unplaceable-sizes.ts
@@ -2,7 +2,7 @@
 import type { Resources } from '../../protocol/model';
 import type { WaitingJob } from './job-queue';
 
-/** Remembers by group which task sizes did not fit in a round. Free resources only shrink, so larger sizes don't fit. */
+/** Remembers by group which task sizes did not fit. In a round free resources only shrink, so larger ones don't fit. */
 export class UnplaceableSizes {
   readonly #sizesByGroup = new Map<string, Resources[]>();
 
@@ -22,7 +22,7 @@
   return resources.cpus >= bound.cpus && resources.gpus >= bound.gpus && resources.memoryGb >= bound.memoryGb;
 }
 
-/** Whether the job's tasks may go to any machine. Only such tasks show that no task of their size in the group fits. */
+/** Whether the job's tasks may go to any machine. If such a task doesn't fit, none of its size in the group does. */
 export function isUnconstrained({ job, machinesToAvoid }: WaitingJob): boolean {
   const { spot, types, zone, oneZone, spread } = job;
   return spot && types === null && zone === null && !oneZone && !spread && machinesToAvoid.size === 0;
--- a/src/coordination/scheduling/waiting-jobs.ts
+++ b/src/coordination/scheduling/waiting-jobs.ts
@@ -11,7 +11,7 @@
     shard.updatePriority(table);
     if (table.unassigned === 0 || !shard.areDependenciesDone(table) || table.retryAt > now) continue;
     // Tasks of a job accepted before this owner acquired the shard may already run on unconfirmed machines, so the job
-    // waits. Jobs accepted later have no tasks there; resources their team may occupy there count against its limit.
+    // waits. Jobs accepted later have no tasks on them; resources their team may occupy on them count against its limit.
     if (!areAllMachinesConfirmed && table.version <= shard.acquiredRevision) continue;
     waiting.push(describeWaitingJob(shard, table, boostAfterMs, now));
   }
