--- a/src/admission/admission-control.ts
+++ b/src/admission/admission-control.ts
@@ -21,7 +21,7 @@
 
 /** An overload counts as ended when no new epoch was written for this many epoch intervals. */
 const EXPIRES_AFTER_EPOCHS = 6;
-/** Maximum number of times that stale records are read again before a submission gets a 503 response. */
+/** Maximum number of times that stale epoch records are read again before a submission gets a 503 response. */
 const MAX_REREADS = 2;
 
 /** The services that admission control uses. */
@@ -30,7 +30,7 @@
   readonly cache: WatchCache;
   readonly clock: Clock;
   readonly log: Log;
-  /** Limits the reads that check whether a deferred job was accepted before, so that enough requests remain for polls. */
+  /** Limits reads that check whether a deferred job was accepted before: enough store requests must remain for polls. */
   readonly lookUpLimit: RateLimit;
   /** Applies a change that the key-value store has acknowledged to the watch cache, and notifies the peers. */
   publish(event: ChangeEvent): void;
@@ -46,7 +46,7 @@
  * Admission by epochs. A decision depends on the epoch, on the work admitted for the job's flow in this overload, and
  * on the job. The transaction that accepts the job has the versions of the epoch's and the flow's record as conditions.
  * So a controller with a stale watch cache may defer a job that another one would admit, but never admits a job that
- * the latest records defer. Outside of an overload, admission adds only the condition on the epoch.
+ * the latest records defer. Outside of an overload, admission adds to the transaction only the condition on the epoch.
  */
 export class AdmissionControl implements AdmissionPolicy {
   /** Monotonic time at which this controller received the current epoch. */
@@ -111,8 +111,8 @@
   }
 
   /**
-   * Reads the epoch and its condition in the same synchronous step. A condition that is read after an `await` could
-   * hold the version of the next epoch, and the transaction would succeed although the decision used the earlier one.
+   * Reads the epoch and the condition on its record without an `await` in between. After an `await`, the condition could
+   * hold the version of the next epoch, and the transaction would succeed although the decision used the earlier epoch.
    */
   async #epochFor(job: Job): Promise<CurrentEpoch> {
     for (let attempt = 0; attempt <= MAX_REREADS; attempt += 1) {
@@ -142,8 +142,8 @@
   }
 
   /**
-   * Whether the epoch has expired: no leader has written one for too long, because admission was switched off at the
-   * leader or at all controllers. Without this time limit, jobs would be deferred forever.
+   * Whether the epoch has expired: no leader has written an epoch for too long, because admission was switched off
+   * at the leader or at all controllers. If the epoch did not expire, jobs would be deferred forever.
    */
   #hasExpired(epochMs: number): boolean {
     return this.context.clock.now() - this.#epochSeenAt > epochMs * EXPIRES_AFTER_EPOCHS;
--- a/src/admission/decision.ts
+++ b/src/admission/decision.ts
@@ -21,8 +21,8 @@
 /**
  * Decides on a job that is not accepted yet. The result depends only on the epoch, on the work admitted for the job's
  * flow and on the job, so every controller with the same records decides alike. Jobs of a flow are admitted while its
- * grant is not exhausted. The last admitted job may exceed it by any amount; the overdraft is a debt that later grants
- * repay first (deficit round robin, Shreedhar and Varghese, 1996). So a job of any size can be admitted.
+ * grant is not exhausted. The last admitted job may exceed the grant by any amount; the overdraft is a debt that later
+ * grants repay first (deficit round robin, Shreedhar and Varghese, 1996). So a job of any size can be admitted.
  *
  * A job that depends on accepted jobs is always admitted, so that work in progress is completed. Its cost is counted.
  */
--- a/src/admission/epoch-records.ts
+++ b/src/admission/epoch-records.ts
@@ -22,7 +22,7 @@
   return KEY.admissionFlow(hashed(flowKey(flow)));
 }
 
-/** The records of an epoch: a header that lists its classes, and a record for each class, so that none grows large. */
+/** The records of an epoch: a header that lists its classes, and a record for each class, so that no record is large. */
 export function epochChanges(epoch: Epoch, epochMs: number): Change[] {
   const byClass = new Map<string, FlowGrant[]>();
   for (const grant of epoch.grants) {
@@ -62,12 +62,12 @@
 export type EpochReadResult =
   | { readonly kind: 'none' }
   | { readonly kind: 'epoch'; readonly epoch: Epoch; readonly epochMs: number }
-  /** The record of a class belongs to another epoch than the header: the source is not up to date. */
+  /** The record of a class is missing or belongs to another epoch than the header: the source is not up to date. */
   | { readonly kind: 'stale'; readonly keys: readonly string[] }
-  /** The header or a class record is malformed for this version. */
+  /** The header or a class record is malformed, as far as this version of the controller can tell. */
   | { readonly kind: 'malformed' };
 
-/** Reads the epoch, with the grants of the included classes only. */
+/** Reads the epoch, with the grants of only those classes for which `isIncluded` returns true. */
 export function readEpoch(source: RecordSource, isIncluded: (jobClass: string) => boolean): EpochReadResult {
   const stored = source.get(KEY.admission);
   if (!stored) return { kind: 'none' };
@@ -86,7 +86,7 @@
   return { kind: 'epoch', epoch: { number, overload, isOverloaded, weights, newFlowGrant, grants }, epochMs };
 }
 
-/** The work admitted for a flow in this overload, from its record; 0 if the record belongs to another overload. */
+/** The work admitted for a flow in an overload, from the flow's record; 0 if the record belongs to another overload. */
 export function readAdmitted(value: unknown, overload: number): number {
   const record = read.admissionFlow(value);
   return record?.overload === overload ? record.admitted : 0;
--- a/src/admission/epoch-writer.ts
+++ b/src/admission/epoch-writer.ts
@@ -34,15 +34,15 @@
 }
 
 /**
- * Writes the next admission epoch while this controller is the leader. Its state is in the key-value store, except for
- * the time since the fleet last grew, which every controller tracks. So an overload continues unchanged under a new
+ * Writes the next admission epoch while this controller is the leader. Admission state is in the key-value store, except
+ * for the time since the fleet last grew, which every controller tracks. So an overload continues unchanged under a new
  * leader. Each transaction has the leader record and the previous epoch as conditions, so a delayed transaction fails
  * after another leader was elected or another epoch was written.
  */
 export class EpochWriter {
   readonly #growth = new FleetGrowthTracker();
   #writtenAt: number | undefined;
-  /** Weights of an epoch, as JSON, that were logged as different from this controller's; undefined if they agree. */
+  /** The epoch's weights, as JSON, if they differ from this controller's and this was logged; undefined otherwise. */
   #reportedWeights: string | undefined;
 
   constructor(
@@ -102,7 +102,7 @@
     }
   }
 
-  /** Time since this leader's previous epoch, for which the next one grants work; one epoch interval if it wrote none. */
+  /** Time since this leader's last epoch (limited), for which the next grants work; one interval if the leader wrote none. */
   #elapsedMs(now: number, epochMs: number): number {
     const writtenAt = this.#writtenAt ?? now - epochMs;
     return Math.min(now - writtenAt, epochMs * MAX_ELAPSED_EPOCHS);
@@ -114,7 +114,7 @@
     const conditions = [leaderCondition, this.#condition(KEY.admission)];
     const result = await store.compareAndSwap(conditions, changes, 'urgent');
     if (!result.ok) return false;
-    // Class records are published before the header, so that a peer that received the header also has its classes.
+    // Class records are published before the header, so that a peer with the new header also has the class records.
     for (const change of [...changes].reverse()) publish(eventOfChange(change, result.revision));
     return true;
   }
@@ -140,7 +140,7 @@
     this.#reportedWeights = differ ? inForce : undefined;
   }
 
-  /** Deletes class records, and flow records of overloads that have ended. */
+  /** Unless there is an overload, deletes class records and the flow records of past overloads. */
   async #deleteObsoleteRecords(leaderCondition: Condition, current: Epoch): Promise<void> {
     if (current.isOverloaded) return;
     await this.#deleteRecords(leaderCondition, (value) => {
@@ -149,7 +149,7 @@
     });
   }
 
-  /** Deletes the epoch, which ends an overload for all controllers at once. Later steps delete the other records. */
+  /** Deletes the epoch, which ends an overload for all controllers at once. Later `step` calls delete the rest. */
   async #deleteAllRecords(leaderCondition: Condition): Promise<void> {
     if (this.context.cache.get(KEY.admission)) await this.#deleteEpoch(leaderCondition);
     else await this.#deleteRecords(leaderCondition, () => true);
@@ -165,7 +165,7 @@
     publish(eventOfChange(deletion, result.revision));
   }
 
-  /** Deletes obsolete class and flow records, as many as one transaction may contain. */
+  /** Deletes obsolete class and flow records: at most `MAX_DELETIONS_AT_ONCE`, and no more than fit into a transaction. */
   async #deleteRecords(leaderCondition: Condition, isObsolete: (value: unknown) => boolean): Promise<void> {
     const { cache, store, maxChanges } = this.context;
     const obsolete = [PREFIX.admissionClass, PREFIX.admissionFlow]
@@ -187,7 +187,7 @@
   }
 }
 
-/** Omits classes whose records don't fit into one transaction. Their flows get the grant of a new flow. */
+/** Omits classes whose records don't fit into one transaction. Flows of omitted classes get the grant of a new flow. */
 function limitClasses(epoch: Epoch, maxClasses: number): Epoch {
   const classes = [...new Set(epoch.grants.map(({ jobClass }) => jobClass))];
   const kept = new Set(classes.slice(0, maxClasses));
--- a/src/admission/epoch.ts
+++ b/src/admission/epoch.ts
@@ -6,7 +6,7 @@
 
 /** A flow's grant during an overload. Amounts are CPU seconds, counted from the beginning of the overload. */
 export interface FlowGrant extends Flow {
-  /** Jobs of the flow are admitted while the admitted work is below this; negative if the flow begins in debt. */
+  /** The flow's jobs are admitted while the admitted work is below this; negative if the flow begins an overload in debt. */
   readonly granted: number;
   /** Growth of the grant, in CPU seconds per second. */
   readonly rate: number;
@@ -15,7 +15,7 @@
 /** An admission epoch: the shared state by which all controllers admit or defer jobs. */
 export interface Epoch {
   readonly number: number;
-  /** The number of the overload. Amounts of different overloads are not comparable. */
+  /** The number of the overload. Grants and admitted work of different overloads are not comparable. */
   readonly overload: number;
   readonly isOverloaded: boolean;
   readonly weights: Weights;
@@ -26,7 +26,7 @@
 
 /** The load of one flow, from which an epoch is computed. */
 export interface FlowLoad extends Flow {
-  /** CPU seconds of its accepted, unfinished work. */
+  /** CPU seconds of the flow's accepted, unfinished work. */
   readonly backlog: number;
   /** CPU seconds admitted since the overload began. */
   readonly admitted: number;
@@ -41,7 +41,7 @@
   readonly elapsedS: number;
 }
 
-/** A flow accumulates unused credit of at most this many epochs. */
+/** A flow accumulates unused credit for at most this many epochs. */
 const MAX_SAVED_EPOCHS = 4;
 /** The admission rate lies between these multiples of the capacity. */
 const MIN_RATE_FACTOR = 0.25;
--- a/src/admission/load-snapshot.ts
+++ b/src/admission/load-snapshot.ts
@@ -39,7 +39,7 @@
   return [...cache.under(PREFIX.machine)].length;
 }
 
-/** Sums up accepted work and capacity. The total includes only work that teams' CPU limits allow in `horizonS` seconds. */
+/** Sums up backlog and capacity. The total backlog is limited to work that teams' CPU limits allow in `horizonS` s. */
 export function readLoadSnapshot(context: LoadContext, epoch: Epoch, horizonS: number): LoadSnapshot {
   const flows = new Map<string, { jobClass: string; team: string; backlog: number }>();
   const backlogOfTeam = new Map<string, number>();
--- a/src/admission/options.ts
+++ b/src/admission/options.ts
@@ -26,7 +26,7 @@
 /** The table `[admission]` after validation. */
 export type AdmissionTable = z.infer<typeof admissionSchema>;
 
-/** The options of admission, derived from the table. */
+/** The options of admission, derived from the operators' table `[admission]`. */
 export interface AdmissionOptions {
   readonly enterS: number;
   readonly leaveS: number;
@@ -37,7 +37,7 @@
   readonly weights: Weights;
 }
 
-/** Reads and checks the table; undefined when admission is off. Throws `SettingsError` with the file and the key. */
+/** Reads and checks `[admission]`; undefined when admission is off. Throws `SettingsError` with the file and the key. */
 export function readAdmissionOptions(settings: Settings): AdmissionOptions | undefined {
   const { objectives, teams } = settings.platform.deployment;
   const classNames = objectives.map((objective) => objective.class);
--- a/src/suspicion/handover-trace.ts
+++ b/src/suspicion/handover-trace.ts
@@ -15,10 +15,10 @@
 ] as const;
 /** The steps by which an owner hands a shard over in a planned handover, in their order. */
 export const PLANNED_HANDOVER_STEPS = ['stopped', 'drained', 'successor named'] as const;
-/** A step of the previous owner or of the successor. */
+/** A step of a handover, by the previous owner or by the successor. */
 export type HandoverStep = (typeof FAILOVER_STEPS)[number] | (typeof PLANNED_HANDOVER_STEPS)[number];
 
-/** The last step of the successor and that of the previous owner. */
+/** The last step of the successor and that of the previous owner in a handover. */
 const LAST_STEPS: readonly HandoverStep[] = ['orphaned jobs placed', 'successor named'];
 
 /** Traces one handover on one of its two controllers. A step that is repeated is logged only once. */
@@ -35,12 +35,12 @@
     this.#span = trace.getTracer(TRACER).startSpan('handover', { attributes: { shard } });
   }
 
-  /** Whether the last step has been recorded. */
+  /** Whether this controller's last step of the handover has been recorded. */
   get isComplete(): boolean {
     return LAST_STEPS.some((step) => this.#reached.has(step));
   }
 
-  /** Records and logs that a step is done; `fields` are added to its log line. */
+  /** Records and logs that a step of the handover is done; `fields` are added to the log line. */
   recordStep(step: HandoverStep, fields: Readonly<Record<string, number | string>> = {}): void {
     if (this.#reached.has(step) || this.isComplete) return;
     this.#reached.add(step);
--- a/src/suspicion/heartbeat-intervals.ts
+++ b/src/suspicion/heartbeat-intervals.ts
@@ -12,7 +12,7 @@
 const MAX_INTERVAL_MS = 5_000;
 const MEDIAN_QUANTILE = 0.5;
 const TAIL_QUANTILE = 0.95;
-/** Distance from the median to `TAIL_QUANTILE` of a normal distribution, in standard deviations. */
+/** Distance from the median to the quantile `TAIL_QUANTILE` of a normal distribution, in standard deviations. */
 const TAIL_DEVIATIONS = 1.645;
 
 /**
--- a/src/suspicion/majority-suspicion.ts
+++ b/src/suspicion/majority-suspicion.ts
@@ -9,8 +9,8 @@
 }
 
 /**
- * Whether more than half of all other controllers suspect a controller. Those that are down, stalled, or of a version
- * without views have no vote, but still count in the total. So a single controller that is up is no majority.
+ * Whether more than half of all other controllers suspect a controller. Other controllers that are down, stalled, or of a
+ * version without views have no vote, but still count in the total. So one of two others is never a majority.
  */
 export function isSuspectedByMajority(
   { controller, sessionEpoch }: ControllerSession,
--- a/src/suspicion/move-limiter.ts
+++ b/src/suspicion/move-limiter.ts
@@ -7,10 +7,10 @@
 /**
  * Counts the changes of owner in the shard records, whichever controller made them, so that a flapping controller does
  * not cause shards to move back and forth. Failovers after the expiry of a lease are not limited: a shard without an
- * owner is always assigned one.
+ * owner is always assigned an owner.
  */
 export class MoveLimiter {
-  /** Monotonic times of the changes of owner within the window. */
+  /** Monotonic times of the changes of owner in the last `WINDOW_MS`. */
   #moves: number[] = [];
   readonly #movedAt = new Map<number, number>();
   readonly #owners = new Map<number, string>();
@@ -27,13 +27,13 @@
     this.#moves.push(now);
   }
 
-  /** Whether suspicion may move this shard from its owner now. */
+  /** Whether suspicion may move a shard now from an owner that holds its lease. */
   allowsMove(shard: number, now: number): boolean {
     const hasCooledDown = now - (this.#movedAt.get(shard) ?? -Infinity) >= SHARD_COOLDOWN_MS;
     return hasCooledDown && this.allowsAnyMove(now);
   }
 
-  /** Whether the limit per minute allows another move. Ignores the cooldown, which protects only holders of a lease. */
+  /** Whether the limit per minute allows another move. Ignores `SHARD_COOLDOWN_MS`: it protects only lease holders. */
   allowsAnyMove(now: number): boolean {
     return this.#moves.filter((at) => now - at < WINDOW_MS).length < this.movesPerMinute;
   }
--- a/src/suspicion/options.ts
+++ b/src/suspicion/options.ts
@@ -30,7 +30,7 @@
   give_up_after_s: z.number().positive().max(60).default(3),
   /** Maximum number of shards that suspicion moves per minute. */
   moves_per_minute: z.int().min(0).max(60).default(4),
-  /** Time after a controller's return during which it ranks below otherwise equal controllers as owner of a shard. */
+  /** Time for which a controller that returned after a failure ranks below otherwise equal candidates for a shard. */
   probation_s: z.number().min(0).max(600).default(10),
   /** Whether spans of handovers are written to the log. */
   trace: z.boolean().default(false),
@@ -39,7 +39,7 @@
 /** The table `[suspicion]` after validation. */
 export type SuspicionTable = z.infer<typeof suspicionSchema>;
 
-/** The options of suspicion, derived from the table. Times in milliseconds. */
+/** The options of suspicion, derived from the operators' table `[suspicion]`. Times in milliseconds. */
 export interface SuspicionOptions {
   readonly detector: 'phi' | 'fixed';
   readonly phiThreshold: number;
@@ -55,7 +55,7 @@
   readonly isTraced: boolean;
 }
 
-/** Reads and checks the table; undefined when suspicion is off. Throws `SettingsError` with the file and the key. */
+/** Reads and checks `[suspicion]`; undefined when suspicion is off. Throws `SettingsError` with the file and the key. */
 export function readSuspicionOptions(settings: Settings): SuspicionOptions | undefined {
   const table = readOperatorTable('suspicion', settings, suspicionSchema, (checked) =>
     findContradiction(checked, settings.shardLeaseMs / MS_PER_S),
@@ -63,7 +63,7 @@
   return table?.enabled ? toOptions(table) : undefined;
 }
 
-/** The options and the times that follow from them, for `check-config`; null when suspicion is off. */
+/** The options of suspicion and the resulting detection times, for `check-config`; null when suspicion is off. */
 export function describeSuspicion(settings: Settings): (SuspicionOptions & SuspicionTimes) | null {
   const options = readSuspicionOptions(settings);
   if (!options) return null;
@@ -80,13 +80,13 @@
 interface SuspicionTimes {
   /** Time from the last heartbeat to the suspicion. */
   readonly suspectedAfterMs: number;
-  /** Time from the last renewal of the lease to its expiry, which declares the peer failed. */
+  /** Time from the last renewal of a peer's lease to the lease's expiry, after which the peer counts as failed. */
   readonly verdictAfterMs: number;
 }
 
 /** Describes a contradiction between settings, and names the key at fault. `shardLeaseS`: duration of the shard lease. */
 function findContradiction(table: SuspicionTable, shardLeaseS: number): string | undefined {
-  // The expiry of the lease declares the controller failed: a later suspicion or handover would have no effect.
+  // A controller whose lease has expired counts as failed: a later suspicion or handover would have no effect.
   const shorterThanLease = ['timeout_s', 'stall_s', 'give_up_after_s', 'min_deviation_s'] as const;
   const tooLong = shorterThanLease.find((key) => table[key] >= shardLeaseS);
   if (tooLong !== undefined) return `${tooLong}: must be smaller than the block lease, ${shardLeaseS} s`;
--- a/src/suspicion/peer-detector.ts
+++ b/src/suspicion/peer-detector.ts
@@ -6,7 +6,7 @@
 import { RunningClock } from './running-clock';
 import { assessSilence } from './silence';
 
-/** Minimum interval that is recorded: messages in quicker succession are one heartbeat or were buffered together. */
+/** Minimum heartbeat interval that is recorded: messages in quicker succession are one heartbeat or were buffered. */
 const MIN_HEARTBEAT_INTERVAL_MS = HEARTBEAT_INTERVAL_MS / 10;
 /** A view expires after this much running time without a heartbeat of its sender. */
 const MAX_VIEW_AGE_MS = 3 * HEARTBEAT_INTERVAL_MS;
@@ -30,11 +30,11 @@
   state: PeerState;
   readonly intervals: HeartbeatIntervals;
   view: PeerView | undefined;
-  /** Monotonic time of the latest heartbeat. */
+  /** Monotonic time of the peer's latest heartbeat; undefined before the first. */
   lastHeartbeatAt: number | undefined;
 }
 
-/** Whether the key-value store contains the record of a peer's session. `unknown`: the records are not loaded. */
+/** Whether the key-value store contains the record of a peer's session. `unknown`: the watch cache is not loaded. */
 export type SessionState = 'exists' | 'ended' | 'unknown';
 
 function newPeer(name: string, now: number): ObservedPeer {
@@ -48,8 +48,8 @@
 }
 
 /**
- * Detects failures of peers. It observes only those that the settings name, so its memory is bounded. A suspicion gives
- * no controller authority over a shard. A peer's status becomes `failed` only when its session in the key-value store
+ * Detects failures of peers. Observes only peers that the settings name, so memory use is bounded. A suspicion gives no
+ * controller authority over a shard. A peer's status becomes `failed` only when its session in the key-value store
  * has ended.
  */
 export class PeerDetector {
@@ -130,7 +130,7 @@
     }
   }
 
-  /** Whether this controller receives no heartbeats from the peer, whatever other controllers receive. */
+  /** Whether the peer's heartbeats to this controller are overdue or never came, whatever other controllers receive. */
   isUnresponsive(name: string): boolean {
     const peer = this.#peers.get(name);
     return !peer || this.#isUnresponsive(peer);
@@ -175,7 +175,7 @@
     return assessSilence(silentMs, peer.intervals.distribution, this.options).isSuspicious;
   }
 
-  /** Suspects an unresponsive peer, unless another controller recently received its heartbeat (only the link failed). */
+  /** Suspects an unresponsive peer, unless another controller recently received a heartbeat of it (the link failed). */
   #checkSilence(peer: ObservedPeer, now: number): void {
     if (!this.#isUnresponsive(peer) || peer.state.status === 'unknown') return;
     const incarnation = this.#incarnationSeenByOthers(peer, now);
@@ -183,7 +183,7 @@
     else this.#applyObservation(peer, { kind: 'indirect heartbeat', incarnation }, now);
   }
 
-  /** The newest incarnation of which another controller recently received a heartbeat; undefined if none did. */
+  /** The peer's newest incarnation of which another controller recently received a heartbeat; undefined if none did. */
   #incarnationSeenByOthers({ name, state }: ObservedPeer, now: number): number | undefined {
     let newest: number | undefined;
     for (const observer of this.#peers.values()) {
--- a/src/suspicion/peer-reachability.ts
+++ b/src/suspicion/peer-reachability.ts
@@ -13,7 +13,7 @@
 /**
  * Tracks which controllers are reachable for which workers, from the controllers' heartbeats. A controller may be
  * unreachable for its workers only, or for its peers, too. The workers then send their heartbeats to peers of the
- * controller. A worker must not be redirected to a controller that it can't reach, or its lease would expire.
+ * controller. A worker must not be redirected to a controller that it can't reach, or the worker's lease would expire.
  */
 export class PeerReachability {
   readonly #heartbeats = new Map<string, PeerHeartbeat>();
@@ -62,7 +62,7 @@
     return [...counts].map(([shard, machines]) => ({ shard, machines }));
   }
 
-  /** Whether workers may be redirected to the owner: it is reachable for this controller and for the shard's workers. */
+  /** Whether workers may be redirected to a shard's owner: this controller and the shard's workers can reach the owner. */
   isReachable(owner: string, shard: number): boolean {
     const heartbeat = this.#heartbeats.get(owner);
     if (!heartbeat || this.liveness.isUnresponsive(owner)) return false;
@@ -71,7 +71,7 @@
 
   /**
    * The peer to which this controller should hand over a shard: the one that the largest number of the shard's
-   * machines reach. Undefined unless most can't reach this controller, and at least half of all reach some peer.
+   * machines reach. Undefined unless most of them can't reach this controller and at least half of them reach a peer.
    */
   successor(shard: number, machines: number, unreachable: number): string | undefined {
     if (!areMostUnreachable(machines, unreachable)) return undefined;
--- a/src/suspicion/peer-state.ts
+++ b/src/suspicion/peer-state.ts
@@ -11,7 +11,7 @@
   readonly reason: PeerReason;
   /** Monotonic time of the last change of status. */
   readonly since: number;
-  /** The session that the peer sent: the revision at which its controller record was written; 0 if unknown. */
+  /** The session epoch that the peer sent: the revision at which its controller record was written; 0 if unknown. */
   readonly sessionEpoch: number;
   /** Counter within a session, which the peer raises to refute a suspicion. */
   readonly incarnation: number;
@@ -36,7 +36,7 @@
   | { readonly kind: 'silence' }
   /** Another controller recently received a heartbeat of the peer. */
   | { readonly kind: 'indirect heartbeat'; readonly incarnation: number }
-  /** The key-value store contains no controller record of the peer: its lease has expired. */
+  /** The key-value store contains no controller record of the peer: the peer's lease has expired. */
   | { readonly kind: 'session ended' }
   /** The key-value store contains a controller record of the peer. */
   | { readonly kind: 'session exists' }
--- a/src/suspicion/phi.ts
+++ b/src/suspicion/phi.ts
@@ -1,4 +1,4 @@
-/** @file Estimates from earlier intervals how unlikely a silence is: phi accrual detection (Hayashibara and others). */
+/** @file Estimates how unlikely a silence is, by heartbeat intervals: phi accrual detection (Hayashibara and others). */
 
 /** The normal distribution of heartbeat intervals, in milliseconds. */
 export interface IntervalDistribution {
@@ -6,9 +6,9 @@
   readonly deviationMs: number;
 }
 
-/** Number of standard deviations above the mean from which the continued fraction is used. */
+/** The continued fraction is used for values that exceed the mean by at least this many standard deviations. */
 const TAIL_FROM = 1.5;
-/** Levels of the continued fraction, which is then accurate to a thousandth beyond `TAIL_FROM`. */
+/** Number of levels of the continued fraction, enough for an accuracy of a thousandth beyond `TAIL_FROM`. */
 const LEVELS = 12;
 /** Coefficients of the logistic approximation of the normal distribution (Bowling and others, 2009). */
 const LINEAR = 1.5976;
@@ -20,15 +20,15 @@
     const exponent = deviations * (LINEAR + CUBIC * deviations * deviations);
     return -Math.log1p(Math.exp(exponent));
   }
-  // Laplace's continued fraction for the ratio of tail to density, evaluated from its last level.
+  // Laplace's continued fraction for the ratio of the normal distribution's tail to its density, from the last level up.
   let fraction = deviations;
   for (let level = LEVELS; level > 0; level -= 1) fraction = deviations + level / fraction;
   return -0.5 * deviations * deviations - 0.5 * Math.log(2 * Math.PI) - Math.log(fraction);
 }
 
 /**
- * The negative decimal logarithm of the probability that a normally distributed interval exceeds the elapsed time. It
- * is about 0 for no time and 0.3 at the mean, and has no upper bound.
+ * The negative decimal logarithm of the probability that a normally distributed interval exceeds the elapsed time. The
+ * result is about 0 for no elapsed time and 0.3 for the mean interval, and has no upper bound.
  */
 export function phi(elapsedMs: number, { meanMs, deviationMs }: IntervalDistribution): number {
   return -logTail((elapsedMs - meanMs) / deviationMs) / Math.LN10;
@@ -36,7 +36,7 @@
 
 const STEP_MS = 10;
 
-/** The shortest silence whose phi reaches the threshold, in steps of 10 ms from the mean. */
+/** The shortest silence whose phi reaches the threshold, searched from the mean interval in steps of 10 ms. */
 export function silenceMsForThreshold(threshold: number, distribution: IntervalDistribution): number {
   let silentMs = distribution.meanMs;
   while (phi(silentMs, distribution) < threshold) silentMs += STEP_MS;
--- a/src/suspicion/rejected-messages.ts
+++ b/src/suspicion/rejected-messages.ts
@@ -19,7 +19,7 @@
   const sender = detector.state(from);
   if (!sender || view?.opinions.some(({ node }) => !isKnown(node))) return 'unknown node';
   if (isViewMalformed) return 'malformed view';
-  // A sender without a session has no epoch to compare.
+  // A sender without a session has no session epoch to compare.
   if (!view || view.run === 0) return undefined;
   if (view.run < sender.sessionEpoch) return 'earlier run';
   const isSameSession = view.run === sender.sessionEpoch;
--- a/src/suspicion/silence.ts
+++ b/src/suspicion/silence.ts
@@ -4,7 +4,7 @@
 
 /**
  * With `phi`, a peer is suspected at the latest after this multiple of `timeout_s`, however irregular its heartbeats
- * were, because a suspicion after the expiry of the peer's lease, which declares it failed, would have no effect.
+ * were, because a peer whose lease has expired counts as failed, so that a later suspicion would have no effect.
  */
 const MAX_SILENCE_TIMEOUTS = 1.5;
 
--- a/src/suspicion/successor.ts
+++ b/src/suspicion/successor.ts
@@ -13,7 +13,7 @@
 /** A controller that may own a certain shard, with its state of suspicion. */
 export interface SuccessorCandidate extends OwnerCandidate {
   readonly isSuspect: boolean;
-  /** Whether the controller returned recently (`probation_s`). */
+  /** Whether, in the last `probation_s` seconds, the controller returned after a failure or restart. */
   readonly isOnProbation: boolean;
   /** Whether the controller was the last owner of the shard. */
   readonly wasLastOwner: boolean;
--- a/src/suspicion/suspicion.ts
+++ b/src/suspicion/suspicion.ts
@@ -37,8 +37,8 @@
 
 /**
  * Observes the peers and this process, exchanges views with the peers, and ranks controllers. A suspicion gives no
- * controller authority over a shard: authority requires the shard lease and a fencing token. Only the end of a peer's
- * session declares it failed. All effects of a suspicion are reversible.
+ * controller authority over a shard: authority requires the shard lease and a fencing token. A peer counts as
+ * failed only when its session has ended. All effects of a suspicion are reversible.
  */
 export class Suspicion implements PeerLiveness {
   readonly #detector: PeerDetector;
@@ -46,7 +46,7 @@
   readonly #moves: MoveLimiter;
   /** The peers whose watch cache was fresh when they sent their last heartbeat. */
   readonly #peersWithFreshView = new Set<string>();
-  /** The session of this controller: the revision at which its record was written; 0 before the first session. */
+  /** The session epoch of this controller: the revision at which its record was written; 0 before the first session. */
   #sessionEpoch = 0;
   /** Counter within a session, raised to refute a suspicion. */
   #incarnation = 0;
@@ -94,7 +94,7 @@
     if (view) this.#refute(view);
   }
 
-  /** Raises this controller's incarnation above the one that a peer suspects; the next heartbeat contains it. */
+  /** Raises this controller's incarnation, sent in the next heartbeat, above one that a peer suspects, if there is any. */
   #refute({ opinions }: PeerView): void {
     for (const { node, run, status, incarnation } of opinions) {
       const isAboutThis = node === this.context.controllerId && run >= this.#sessionEpoch;
@@ -146,12 +146,12 @@
     return isSuspectedByMajority({ controller, sessionEpoch }, this.#detector.views, peers.length);
   }
 
-  /** Whether damping allows the assignment of a shard to change before the assigned owner has acquired its lease. */
+  /** Whether the limit on moves allows a shard to be reassigned before the assigned owner has acquired the lease. */
   allowsReassignment(): boolean {
     return this.#moves.allowsAnyMove(this.context.clock.now());
   }
 
-  /** Whether damping allows a shard to be moved now from an owner that holds its lease. */
+  /** Whether the limits on moves allow a shard to be moved now from an owner that holds its lease. */
   allowsMove(shard: number): boolean {
     return this.#moves.allowsMove(shard, this.context.clock.now());
   }
