--- a/src/coordination/shard/attempt-manager.ts
+++ b/src/coordination/shard/attempt-manager.ts
@@ -46,7 +46,7 @@
     const machine = this.shard.machines.get(id);
     const task = table?.nextUnassigned() ?? -1;
     if (!table || !machine || task < 0) return;
-    // Attempts are issued only here, so this check covers every way of choosing a job.
+    // Attempts are issued only by this method, so this check covers every way of choosing a job.
     if (!this.shard.areDependenciesDone(table)) {
       this.context.log.error({ job }, 'job placed before its dependencies are done');
       return;
@@ -63,7 +63,7 @@
     this.context.log.debug({ job, task, machine: id, attempt: number }, 'task issued');
   }
 
-  /** Schedules a stop command with `graceS` seconds to save a checkpoint. A shorter time replaces a longer one. */
+  /** Schedules a stop command with `graceS` seconds to save a checkpoint. A shorter `graceS` replaces a longer one. */
   evict(machine: Machine, attempt: Attempt, graceS: number): void {
     if (attempt.phase === 'exited') return;
     if (attempt.eviction && attempt.eviction.graceS <= graceS) return;
@@ -131,7 +131,7 @@
   /**
    * Handles an attempt that is gone, or exited without completing its task. The task becomes unassigned only if it has
    * no other attempt on any machine. A task can have two attempts after a failover: a delayed heartbeat may report one
-   * that was replaced long ago, and the dispatch table may then contain the replaced one.
+   * that was replaced long ago, and the dispatch table may then contain the replaced attempt.
    */
   #onLost(table: DispatchTable, attempt: Attempt): void {
     if (!table.markLost(attempt.task, attempt.key)) return;
--- a/src/coordination/shard/attempt.ts
+++ b/src/coordination/shard/attempt.ts
@@ -80,7 +80,7 @@
   readonly team: string;
   readonly image: string;
   readonly imageGb: number;
-  /** Whether it was placed ahead of the queue order because its job had waited too long; if so, it is not preempted. */
+  /** Whether the attempt was placed out of queue order because its job had waited too long. It isn't preempted then. */
   readonly isBoosted: boolean;
   #phase: TrackedPhase = 'starting';
   #exitCause: ExitCause | null = null;
@@ -115,12 +115,12 @@
     return this.#runningSince;
   }
 
-  /** Whether its start command was sent at least once. */
+  /** Whether the attempt's start command was sent at least once. */
   get wasStartSent(): boolean {
     return this.#wasStartSent;
   }
 
-  /** Whether its start command is in flight. */
+  /** Whether the attempt's start command is in flight. */
   get isStartInFlight(): boolean {
     return this.#isStartInFlight;
   }
@@ -142,23 +142,23 @@
     if (reported.phase === 'running' || reported.phase === 'checkpointing') this.#runningSince ??= now;
   }
 
-  /** Notes that its start command is being sent. */
+  /** Notes that the attempt's start command is being sent. */
   startCommandSent(): void {
     this.#wasStartSent = true;
     this.#isStartInFlight = true;
   }
 
-  /** Notes that its start command got a response, or failed. */
+  /** Notes that the attempt's start command got a response, or failed. */
   startCommandEnded(): void {
     this.#isStartInFlight = false;
   }
 
-  /** Marks the attempt as to be stopped. */
+  /** Marks the attempt as to be stopped, with `graceS` seconds to save a checkpoint. */
   evict(graceS: number): void {
     this.#eviction = { graceS };
   }
 
-  /** Records when its job ended; later calls have no effect. */
+  /** Records when the attempt's job ended; later calls have no effect. */
   markJobEnded(now: number): void {
     this.#jobEndedAt ??= now;
   }
--- a/src/coordination/shard/command-dispatcher.ts
+++ b/src/coordination/shard/command-dispatcher.ts
@@ -90,7 +90,7 @@
     if (machine.record.address === '' || machine.isTerminated || !this.shard.entitled) return;
     const unsent = [...machine.attempts.values()].filter((attempt) => !attempt.wasStartSent);
     this.#discardInvalidStarts(machine, unsent);
-    // An unresponsive machine gets no start commands: their attempts would stay unconfirmed until its lease expires.
+    // An unresponsive machine gets no start commands: their attempts would stay unconfirmed until lease expiry.
     const startPolicy = machine.unresponsiveSince === undefined ? 'with starts' : 'without starts';
     const commands = commandsFor(machine, this.shard.tables, startPolicy);
     if (commands.length === 0 && reason === 'pending') return;
@@ -152,11 +152,11 @@
     if (result.heartbeat) this.#reconciler.reconcile(machine, result.heartbeat);
     if (result.kind === 'refused') this.#discardUnstarted(machine, sent.starts);
     this.#flagUnconfirmedStarts(sent);
-    // A worker of unknown incarnation refuses a command. Its response contains the incarnation, so a probe follows.
+    // A worker refuses commands for another incarnation. The refusal contains the worker's own, so a probe follows.
     const isNewIncarnation = !machine.isConfirmed && machine.worker.incarnation !== sent.incarnation;
     if (isNewIncarnation) this.#send(machine, 'probe');
     else if (result.kind === 'done') this.#send(machine, 'pending');
-    // After any other refusal, the machine's remaining commands are queued again.
+    // After a refusal that revealed no new incarnation, the machine's remaining commands are queued again.
     else this.#queue.add(machine);
   }
 
--- a/src/coordination/shard/completion-recorder.ts
+++ b/src/coordination/shard/completion-recorder.ts
@@ -23,17 +23,17 @@
 /** The part of a transaction that concerns one job. */
 interface JobWrite {
   readonly table: DispatchTable;
-  /** Tasks whose completions it records. */
+  /** Tasks whose completions the write records. */
   readonly tasks: readonly number[];
-  /** Keys of the completion records that it writes or deletes. */
+  /** Keys of the completion records that are written or deleted. */
   readonly recordKeys: readonly string[];
-  /** The final state, which is written with the last completions. */
+  /** The job's final state, written with its last completions; undefined in earlier writes. */
   readonly final: FinalRecord | undefined;
   readonly conditions: readonly Condition[];
   readonly changes: readonly Change[];
 }
 
-/** Limit on the values in one transaction, which leaves space in its request body for everything else. */
+/** Limit on the total size of a transaction's values, which leaves space in its request body for everything else. */
 const MAX_VALUE_BYTES = 40 * 1024;
 const MAX_WAIT_MS = 1_000;
 const PAUSE_AFTER_FAILURE_MS = 400;
@@ -91,7 +91,7 @@
     this.#wakeForMore();
   }
 
-  /** Starts the next step at once if a completed job is not yet recorded. Unfinished jobs wait for `flush_ms`. */
+  /** Wakes the recorder if a completed job has unrecorded tasks. Writes of unfinished jobs wait for `flush_ms`. */
   #wakeForMore(): void {
     for (const table of this.shard.tables.values()) {
       if (table.unrecorded.size > 0 && table.remaining === 0) {
@@ -131,7 +131,7 @@
     return unfinished;
   }
 
-  /** Maximum number of bitmaps in one transaction. */
+  /** Maximum number of bitmaps of unfinished jobs in one transaction. */
   #maxBitmaps(): number {
     const { cache, settings } = this.context;
     const { write_rps } = settings.platform.deployment.state;
@@ -223,8 +223,8 @@
   }
 
   /**
-   * Handles failed conditions: a job was cancelled, or an earlier write of this owner was applied although it got no
-   * response. Closes the cancelled job, or merges the stored completion records into the dispatch table.
+   * Handles a transaction's failed conditions: a job was cancelled, or an earlier write of this owner was applied but
+   * got no response. Closes the cancelled job, or merges the stored completion records into the job's dispatch table.
    */
   async #resolveConflicts(writes: readonly JobWrite[], failedKeys: ReadonlySet<string>): Promise<void> {
     for (const { table, recordKeys } of writes) {
--- a/src/coordination/shard/dispatch-table.ts
+++ b/src/coordination/shard/dispatch-table.ts
@@ -74,12 +74,12 @@
     return this.#isReady;
   }
 
-  /** Wall-clock start of the job's wait for machines only: its submission, or the end of its last dependency. */
+  /** Wall-clock time since which the job waits only for machines: its submission, or the end of its last dependency. */
   get waitingSince(): number {
     return this.#waitingSince;
   }
 
-  /** Marks all dependencies as done; the last of them ended at this wall-clock time. */
+  /** Marks all dependencies of the job as done; the last one ended at the given wall-clock time. */
   becomeReady(lastDependencyEndedAt: number): void {
     this.#isReady = true;
     this.#waitingSince = Math.max(this.submittedAt, lastDependencyEndedAt);
@@ -159,7 +159,7 @@
     this.#lastWriteAttemptAt = now;
   }
 
-  /** Marks the tasks of a stored completion record as done, unless a newer version was merged before. */
+  /** Marks the tasks of a stored completion record as done, unless this version or a newer one was merged before. */
   mergeRecorded(key: string, { first, bits }: StoredCompletions, version: number): void {
     if (version <= (this.recordVersions.get(key) ?? 0)) return;
     this.recordVersions.set(key, version);
@@ -192,7 +192,7 @@
     this.#retryAt = time;
   }
 
-  /** Handles the completion of a task: clears the failures and ends the pause. */
+  /** Handles the completion of a task: clears the job's failures and ends its pause. */
   onTaskSucceeded(): void {
     this.#failures.clear();
     this.#retryAt = 0;
@@ -208,12 +208,12 @@
     if (this.done === 0 && pauseMs > 0) this.#retryAt = now + pauseMs;
   }
 
-  /** Machines on which no task of the job may be started now, because one failed there recently. */
+  /** Machines on which no task of the job may be started now, because one of its tasks failed there recently. */
   machinesToAvoid(now: number): ReadonlySet<string> {
     return this.#failures.machinesToAvoid(now);
   }
 
-  /** Whether failures of its tasks are attributed to the job, and not to the machines that they ran on. */
+  /** Whether task failures are attributed to the job itself, and not to the machines that the tasks ran on. */
   get isJobLikelyFaulty(): boolean {
     return this.done === 0 && this.#failures.areOnManyMachines;
   }
--- a/src/coordination/shard/failure-streak.ts
+++ b/src/coordination/shard/failure-streak.ts
@@ -5,12 +5,12 @@
   readonly #jobs = new Set<string>();
   #length = 0;
 
-  /** Number of consecutive failures. */
+  /** Number of consecutive task failures on the machine. */
   get length(): number {
     return this.#length;
   }
 
-  /** Number of different jobs among the failures. */
+  /** Number of different jobs whose tasks failed in the streak. */
   get jobCount(): number {
     return this.#jobs.size;
   }
--- a/src/coordination/shard/heartbeat-handler.ts
+++ b/src/coordination/shard/heartbeat-handler.ts
@@ -47,7 +47,7 @@
     if (!machine && shard.entitled && this.#autoscaler.isUnrecorded(heartbeat.machine)) {
       return this.#registerUnrecorded(heartbeat);
     }
-    // A heartbeat of a machine that the cloud has terminated is a delayed message: it must change nothing.
+    // A heartbeat from a machine that the cloud has terminated is a delayed message and must change nothing.
     if (!machine || machine.isTerminated || !shard.entitled) return UNDECIDED;
     if (machine.isUp) return this.#answer(machine, heartbeat);
     machine.firstHeartbeatReceived();
@@ -82,8 +82,8 @@
 
   #answerUnverified(machine: Machine, heartbeat: WorkerHeartbeat): OwnerResponse {
     const count = machine.worker.unverifiedHeartbeatReceived(heartbeat.incarnation);
-    // The worker seems to receive no responses, so further heartbeats get no response. Each response would count as a
-    // renewal, and the lease would never count as expired.
+    // The worker seems to receive no responses, so further heartbeats get none. Each response would count as a renewal
+    // of the worker's lease, which would then never count as expired.
     if (!machine.isConfirmed && count > MAX_UNVERIFIED_HEARTBEATS) return UNDECIDED;
     machine.worker.heartbeatAnswered(this.context.clock.now());
     // The response renews the worker's lease, so it must stop attempts of cancelled jobs. A job may have been cancelled
@@ -98,7 +98,7 @@
     if (isNew) machine.worker.leaseRenewed(now);
     if (this.#attempts.hasUnconfirmedStartOfEndedJob(machine, now)) return UNDECIDED;
     const commands = commandsFor(machine, this.shard.tables, 'without starts');
-    // The worker counts its lease from when it sent the heartbeat, so it ends the lease before this owner does.
+    // The worker counts its lease from sending the heartbeat, so it ends the lease earlier than by this owner's count.
     machine.worker.heartbeatAnswered(now);
     return this.#accept(commands);
   }
--- a/src/coordination/shard/heartbeat-reconciler.ts
+++ b/src/coordination/shard/heartbeat-reconciler.ts
@@ -22,7 +22,7 @@
     const changes = machine.reconcile(heartbeat, now, leaseMs, (job) => this.attempts.describe(job));
     this.#checkFencingToken(machine, heartbeat);
     if (hadMissedHeartbeats) {
-      // An unreachable machine can't be used, so its unreachable time doesn't count as idle. When it did, hundreds of
+      // An unreachable machine can't be used, so the unreachable time isn't counted as idle. When it was, hundreds of
       // machines of a partitioned zone were released when the partition ended, before pending tasks could use them.
       machine.restartIdleTime(now);
       shard.wake();
--- a/src/coordination/shard/job-failures.ts
+++ b/src/coordination/shard/job-failures.ts
@@ -3,9 +3,9 @@
 const FIRST_PAUSE_MS = 2_000;
 const MAX_PAUSE_MS = 60_000;
 const MAX_DOUBLINGS = 10;
-/** Number of machines on which a job has to fail before it is retried with pauses. */
+/** Number of machines on which a job's tasks have to fail before the job is retried with pauses. */
 const MACHINES_TO_PAUSE_JOB = 2;
-/** A job that failed on this many machines, and has no completed task, is assumed to be faulty itself. */
+/** A job is assumed to be faulty itself if its tasks failed on this many machines and none has completed. */
 const MACHINES_TO_BLAME_JOB = 3;
 /**
  * Time for which the job avoids a machine on which one of its tasks failed. The time is limited, because a job for
@@ -14,7 +14,7 @@
 const AVOID_MACHINE_MS = 60_000;
 const NONE: ReadonlySet<string> = new Set();
 
-/** Tracks the failures of one job's tasks since its last success, which determine its pauses and machines to avoid. */
+/** Tracks the failures of a job's tasks since one last succeeded, to determine its pauses and machines to avoid. */
 export class JobFailures {
   /** Monotonic time of the last failure of a task, by machine id. */
   readonly #failedAt = new Map<string, number>();
--- a/src/coordination/shard/machine-registration.ts
+++ b/src/coordination/shard/machine-registration.ts
@@ -13,7 +13,7 @@
 /** The outcome of writing a machine's record. `conflict`: another writer changed the record first. */
 export type RegistrationOutcome = 'recorded' | 'conflict' | 'failed';
 
-/** A machine that the shard has, or the unwritten record of a rented machine. */
+/** A machine that belongs to the shard, or the unwritten record of a rented machine. */
 type RecordSubject = { kind: 'known'; machine: Machine } | { kind: 'rental'; record: MachineRecord };
 
 /** A machine whose worker sends heartbeats, and which is to be recorded as up. */
@@ -49,7 +49,7 @@
     private readonly context: ControllerContext,
   ) {}
 
-  /** Number of pending records. */
+  /** Number of machine records that wait to be written. */
   get size(): number {
     return this.#pending.size;
   }
@@ -122,7 +122,7 @@
     const key = KEY.machine(id);
     const version = this.context.cache.version(key);
     const isRental = subject.kind === 'rental';
-    // A rental that already has a record is in the shard. A machine of the shard without a record was released
+    // A rented machine with a record is already in the shard. A machine of the shard without a record was released
     // meanwhile: a write on the condition that no record exists would recreate it, as up. So neither is written.
     if (isRental ? version > 0 : version === 0) return undefined;
     const record = isRental ? subject.record : subject.machine.record;
--- a/src/coordination/shard/machine-resources.ts
+++ b/src/coordination/shard/machine-resources.ts
@@ -54,7 +54,7 @@
     this.#used.cpus -= attempt.resources.cpus;
     this.#used.gpus -= attempt.resources.gpus;
     this.#used.memoryGb -= attempt.resources.memoryGb;
-    // Sums of decimals accumulate rounding errors, so an empty machine is reset to zero.
+    // Sums of decimals accumulate rounding errors, so they are reset to zero when no attempt occupies resources.
     if (this.#occupants === 0) {
       this.#used.cpus = 0;
       this.#used.gpus = 0;
--- a/src/coordination/shard/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -61,12 +61,12 @@
     this.#attempts = new MachineAttempts(this.worker, this.#resources, this.#images);
   }
 
-  /** Monotonic time when this owner first saw it. */
+  /** Monotonic time when this owner first saw the machine. */
   get firstSeenAt(): number {
     return this.worker.firstSeenAt;
   }
 
-  /** Arrival time of its worker's newest message; delayed older messages don't count. */
+  /** Arrival time of the worker's newest message; delayed older messages don't count. */
   get lastHeartbeatAt(): number | undefined {
     return this.worker.lastHeartbeatAt;
   }
@@ -76,57 +76,57 @@
     return this.worker.latestLeaseStart;
   }
 
-  /** Time when its worker became unresponsive, though its heartbeats may still arrive; undefined while it responds. */
+  /** Time when the worker became unresponsive, though its heartbeats may still arrive; undefined while it responds. */
   get unresponsiveSince(): number | undefined {
     return this.worker.unresponsiveSince;
   }
 
-  /** Whether the last command to its worker got no response. */
+  /** Whether the last command to the machine's worker got no response. */
   get isLastCommandUnanswered(): boolean {
     return this.worker.isLastCommandUnanswered;
   }
 
-  /** Whether its worker can no longer execute commands of earlier owners. */
+  /** Whether the machine's worker can no longer execute commands of earlier owners. */
   get isConfirmed(): boolean {
     return this.worker.isConfirmed;
   }
 
-  /** Monotonic time by which the lease has certainly expired and the worker has killed and forgotten its attempts. */
+  /** Monotonic time after which the worker's lease is certainly expired, and its attempts are killed and forgotten. */
   leaseExpiresAt(leaseMs: number): number {
     return this.worker.leaseExpiresAt(leaseMs);
   }
 
-  /** Whether its worker's last heartbeat is more than `missedMs` ago. */
+  /** Whether the worker's last heartbeat, or `firstSeenAt` if there is none, is more than `missedMs` ago. */
   hasMissedHeartbeats(now: number, missedMs: number): boolean {
     return this.worker.hasMissedHeartbeats(now, missedMs);
   }
 
-  /** Assumes that another controller responded to its worker as late as now, which renewed the worker's lease. */
+  /** Assumes that another controller responded to the worker as late as now, which renewed the worker's lease. */
   assumeHeartbeatAnswered(now: number): void {
     this.worker.assumeHeartbeatAnswered(now);
   }
 
-  /** The attempts on it by their keys, unconfirmed ones included. */
+  /** The attempts on the machine by their keys, unconfirmed ones included. */
   get attempts(): ReadonlyMap<string, Attempt> {
     return this.#attempts.byKey;
   }
 
-  /** Sizes of the images that it should have cached, least recently used first. */
+  /** Sizes of the images that the machine is estimated to have cached, least recently used first. */
   get cachedImages(): ReadonlyMap<string, number> {
     return this.#images.sizesGb;
   }
 
-  /** CPUs that no attempt occupies. */
+  /** CPUs of the machine that no attempt occupies. */
   get freeCpus(): number {
     return this.#resources.freeCpus;
   }
 
-  /** Whether any attempt occupies resources. */
+  /** Whether any attempt occupies resources of the machine. */
   get isBusy(): boolean {
     return this.#resources.isBusy;
   }
 
-  /** A new object with the free resources, which the caller may modify. */
+  /** A new object with the machine's free resources, which the caller may modify. */
   freeResources(): Resources {
     return this.#resources.free();
   }
@@ -175,17 +175,17 @@
     return changes;
   }
 
-  /** Whether it is recorded as up; only then do its worker's heartbeats get responses. */
+  /** Whether the machine is recorded as up; only then do its worker's heartbeats get responses. */
   get isUp(): boolean {
     return this.#isUp;
   }
 
-  /** Whether its worker has sent a heartbeat; until `isUp`, the write of its record is pending. */
+  /** Whether the worker has sent a heartbeat; until `isUp`, the write of the machine's record is pending. */
   get hasSentHeartbeat(): boolean {
     return this.#hasSentHeartbeat;
   }
 
-  /** Monotonic time since which it has been idle; used by scale-in. */
+  /** Monotonic time since which the machine has been idle; used by scale-in. */
   get idleSince(): number {
     return this.#idleSince;
   }
@@ -195,27 +195,27 @@
     return this.#spotNoticeDeadline;
   }
 
-  /** Whether it gets no more tasks, because tasks fail here that succeed elsewhere. */
+  /** Whether the machine gets no more tasks, because it counts as faulty; see `QuarantinePolicy`. */
   get isQuarantined(): boolean {
     return this.#isQuarantined;
   }
 
-  /** Reason why it gets no more tasks and is released as soon as possible; undefined while it is not drained. */
+  /** Reason why the machine gets no more tasks and is released as soon as possible; undefined while not drained. */
   get drainReason(): DrainReason | undefined {
     return this.#drainReason;
   }
 
-  /** Whether its release was requested from the cloud; if so, it may disappear at any moment. */
+  /** Whether the machine's release was requested from the cloud; if so, it may disappear at any moment. */
   get isReleaseRequested(): boolean {
     return this.#isReleaseRequested;
   }
 
-  /** Whether the cloud confirmed its termination; if so, delayed heartbeats of it must change nothing. */
+  /** Whether the cloud confirmed the machine's termination; if so, delayed heartbeats of it must change nothing. */
   get isTerminated(): boolean {
     return this.#isTerminated;
   }
 
-  /** Whether tasks may be placed here. */
+  /** Whether tasks may be placed on the machine. */
   isSchedulable(now: number, leaseMs: number, missedMs: number): boolean {
     return (
       this.#isUp &&
@@ -231,7 +231,7 @@
     this.#hasSentHeartbeat = true;
   }
 
-  /** Notes that it is recorded as up, with this address. */
+  /** Notes that the machine is recorded as up, with this address. */
   markUp(address: string, now: number): void {
     this.#isUp = true;
     this.record.address = address;
@@ -247,38 +247,38 @@
     else this.#spotNoticeDeadline = Math.min(this.#spotNoticeDeadline ?? Infinity, now + noticeS * 1000);
   }
 
-  /** Places no tasks here for `BACKOFF_MS`, after a start command was refused or a command got no response. */
+  /** Stops placement for `BACKOFF_MS`, after a start was refused for lack of resources or a command got no response. */
   backOff(now: number): void {
     this.#backoffUntil = now + BACKOFF_MS;
   }
 
-  /** Places no more tasks here. */
+  /** Stops the placement of tasks on the machine. */
   quarantine(): void {
     this.#isQuarantined = true;
   }
 
-  /** Places no more tasks here and has it released as soon as possible. The first reason is kept. */
+  /** Drains the machine: it gets no more tasks and is released as soon as possible. A reason set earlier is kept. */
   drain(reason: DrainReason): void {
     this.#drainReason ??= reason;
   }
 
-  /** Drains it as unresponsive, which replaces any other reason: it is then released even with attempts on it. */
+  /** Drains the machine as unresponsive, in place of any other reason: it is released even with attempts on it. */
   drainAsUnresponsive(): void {
     this.#drainReason = 'unresponsive';
   }
 
-  /** Ends its drain as unresponsive if its worker responds again and its release was not requested yet. */
+  /** Ends a drain as unresponsive if the worker responds again and the machine's release was not requested yet. */
   cancelDrainIfResponsive(): void {
     const isDrainedAsUnresponsive = this.#drainReason === 'unresponsive' && !this.#isReleaseRequested;
     if (isDrainedAsUnresponsive && this.worker.unresponsiveSince === undefined) this.#drainReason = undefined;
   }
 
-  /** Notes that its release is requested from the cloud. */
+  /** Notes that the machine's release is requested from the cloud. */
   markReleaseRequested(): void {
     this.#isReleaseRequested = true;
   }
 
-  /** Notes that the cloud confirmed its termination. */
+  /** Notes that the cloud confirmed the machine's termination. */
   markTerminated(): void {
     this.#isTerminated = true;
   }
--- a/src/coordination/shard/probe-queue.ts
+++ b/src/coordination/shard/probe-queue.ts
@@ -64,7 +64,7 @@
 
   #needsProbe(machine: Machine): boolean {
     if (!machine.isUp || machine.isTerminated) return false;
-    // A heartbeat since `fill` makes the probe unnecessary if the machine is confirmed and responsive.
+    // A heartbeat since the last `fill` makes the probe unnecessary if the machine is confirmed and responsive.
     const hasSentHeartbeat = (machine.lastHeartbeatAt ?? -1) >= this.#filledAt;
     return !(machine.isConfirmed && machine.unresponsiveSince === undefined && hasSentHeartbeat);
   }
--- a/src/coordination/shard/quarantine-policy.ts
+++ b/src/coordination/shard/quarantine-policy.ts
@@ -2,14 +2,14 @@
 import type { DispatchTable } from './dispatch-table';
 import type { Machine } from './machine';
 
-/** Number of consecutive failures after which a machine counts as faulty, if the job has completed other tasks. */
+/** A machine counts as faulty after this many consecutive task failures of a job that has completed other tasks. */
 const FAULTY_AFTER_FAILURES_OF_ONE_JOB = 3;
 /** A machine counts as faulty once its consecutive failures include this many different jobs. */
 const FAULTY_AFTER_FAILING_JOBS = 2;
 
 /**
  * Quarantines a machine if tasks of several jobs fail there in a row, or if tasks of one job fail there repeatedly but
- * succeed elsewhere. Failures of a likely faulty job, one that failed on several machines, don't count.
+ * succeed elsewhere. Failures of a likely faulty job (no completed task, failures on several machines) don't count.
  */
 export class QuarantinePolicy {
   /** Handles the success of a task on the machine. */
--- a/src/coordination/shard/record-change-handler.ts
+++ b/src/coordination/shard/record-change-handler.ts
@@ -25,7 +25,7 @@
     private readonly listener: RecordChangeListener,
   ) {}
 
-  /** Applies the change of a record. */
+  /** Applies the change of a record to the shard's state. */
   onChange(event: ChangeEvent): void {
     const { key } = event;
     if (key.startsWith(PREFIX.job)) {
@@ -33,7 +33,7 @@
     } else if (key.startsWith(PREFIX.machine)) {
       this.#onMachine(event);
     } else if (key.startsWith(`${PREFIX.relay}${this.shard.number}/`)) {
-      // A relay may have renewed worker leases until its record was deleted, so all leases count as renewed now.
+      // A relay may have renewed worker leases until its record was deleted, so all worker leases count as renewed now.
       this.scheduler.assumeAllLeasesRenewed(this.context.clock.now());
     } else if (key === KEY.lease(this.shard.number)) {
       this.#onLease(event);
--- a/src/coordination/shard/round-loop.ts
+++ b/src/coordination/shard/round-loop.ts
@@ -1,4 +1,4 @@
-/** @file Runs the scheduling rounds of a shard's owner, and limits their share of the time. */
+/** @file Runs the scheduling rounds of a shard's owner, and limits their share of the event loop's time. */
 import type { WakeSignal } from '../../base/clock';
 import type { HandoverTrace } from '../../suspicion/handover-trace';
 import type { ControllerContext } from '../controller-context';
@@ -7,7 +7,7 @@
 import type { Shard } from './shard';
 import { summarizeShard } from './shard-summary';
 
-/** The maximum interval between rounds, and the minimum interval between runs of the periodic tasks. */
+/** The maximum interval between scheduling rounds, and the minimum interval between runs of the periodic tasks. */
 const TICK_MS = 250;
 /** Delay before a round, so that one round handles all events that arrive at about the same time. */
 const EVENT_BATCHING_MS = 4;
@@ -17,7 +17,7 @@
 
 /** The components of a shard's owner that a round uses. */
 export interface RoundLoopParts {
-  /** Wakes the loop when there is work for a round. */
+  /** Wakes the loop when there is work for a scheduling round. */
   readonly wake: WakeSignal;
   readonly scheduler: Scheduler;
   readonly dispatcher: CommandDispatcher;
--- a/src/coordination/shard/run-time-estimates.ts
+++ b/src/coordination/shard/run-time-estimates.ts
@@ -1,9 +1,9 @@
 /** @file Corrects the users' run time estimates by measured run times. */
 import type { Job } from '../../protocol/model';
 
-/** Weight of the newest task in the moving average. */
+/** Weight of the newest task in the moving average of a job class's ratios. */
 const SMOOTHING_FACTOR = 0.05;
-/** Bounds on the ratio of run time to estimate, which limit the effect of outliers. */
+/** Bounds on the ratio of measured to estimated run time, which limit the effect of outliers. */
 const MIN_RATIO = 0.2;
 const MAX_RATIO = 5;
 
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -50,7 +50,7 @@
   readonly teams: ReadonlyMap<string, TeamQuota>;
   readonly timing: WorkerTiming;
   isStopped = false;
-  /** Whether a start command may have ended without a response, so that its attempt is unconfirmed. */
+  /** Whether a start command may have got no response, so that its attempt is unconfirmed. */
   hasUnconfirmedStarts = false;
   readonly #confirmation: MachineConfirmation;
   readonly #jobTiming: JobTiming;
--- a/src/coordination/shard/worker-liveness.ts
+++ b/src/coordination/shard/worker-liveness.ts
@@ -105,7 +105,7 @@
     );
   }
 
-  /** Monotonic time by which the lease has certainly expired and the worker has killed and forgotten its attempts. */
+  /** Monotonic time after which the worker's lease is certainly expired, and its attempts are killed and forgotten. */
   leaseExpiresAt(leaseMs: number): number {
     return this.#latestLeaseStart + leaseMs * (1 + 2 * MAX_CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_MS;
   }
@@ -185,7 +185,7 @@
     return this.#unverifiedHeartbeats;
   }
 
-  /** Notes that a heartbeat, maybe a delayed duplicate, got a response: attempts may run for a lease from now. */
+  /** Notes that a heartbeat, maybe a delayed duplicate, got a response: attempts may run for a lease duration. */
   heartbeatAnswered(now: number): void {
     this.#latestLeaseStart = now;
   }
