--- a/src/admission/epoch.ts
+++ b/src/admission/epoch.ts
@@ -1,5 +1,5 @@
 /** @file Computes the next admission epoch: whether there is an overload, and the grant of each flow. */
-import { fairSharesByFlow, type FlowDemand, type Weights } from './fair-shares';
+import { fairSharesByFlow, type FlowDemand, type Weights } from './entitlements';
 import { flowKey, type Flow } from './flow';
 import { drainTimeS, isOverloaded, type Load } from './overload';
 import type { AdmissionOptions } from './options';
--- a/src/admission/options.ts
+++ b/src/admission/options.ts
@@ -2,7 +2,7 @@
 import * as z from 'zod';
 import { readOperatorTable } from '../base/operator-table';
 import type { Settings } from '../base/settings';
-import { effectiveWeights, type TeamGuarantee, type Weights } from './fair-shares';
+import { effectiveWeights, type TeamGuarantee, type Weights } from './entitlements';
 
 const weight = z.number().positive().max(1e6);
 
--- a/test/admission-decisions.test.ts
+++ b/test/admission-decisions.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decideAdmission } from '../src/admission/decision';
-import { maxMinFairShares, fairSharesByFlow, effectiveWeights } from '../src/admission/fair-shares';
+import { maxMinFairShares, fairSharesByFlow, effectiveWeights } from '../src/admission/entitlements';
 import { initialEpoch, nextEpoch, type Epoch, type FlowLoad } from '../src/admission/epoch';
 import { flowKey } from '../src/admission/flow';
 import { FleetGrowthTracker, isOverloaded } from '../src/admission/overload';
--- a/test/admission-failures.test.ts
+++ b/test/admission-failures.test.ts
@@ -13,7 +13,7 @@
   OBJECTIVES,
   causeOverload,
 } from './admission-steps';
-import { RetryingUsers, type SubmissionOutcome } from './fakes/retrying-users';
+import { RetryingUsers, type SubmissionOutcome } from './fakes/patient-users';
 import { submission } from './fakes/submission';
 import { SimulatedCluster } from './fakes/simulated-cluster';
 
--- a/test/admission-shares.test.ts
+++ b/test/admission-shares.test.ts
@@ -10,7 +10,7 @@
   epochOf,
   causeOverload,
 } from './admission-steps';
-import { RetryingUsers } from './fakes/retrying-users';
+import { RetryingUsers } from './fakes/patient-users';
 
 const TEN_MINUTES_MS = 600_000;
 
--- a/test/admission-steps.ts
+++ b/test/admission-steps.ts
@@ -1,7 +1,7 @@
 /** @file Shared steps of the tests of admission. */
 import assert from 'node:assert/strict';
 import { KEY, read } from '../src/bookkeeping/records';
-import type { SubmissionOutcome, RetryingUsers } from './fakes/retrying-users';
+import type { SubmissionOutcome, RetryingUsers } from './fakes/patient-users';
 import { SimulatedCluster } from './fakes/simulated-cluster';
 
 export const ADMISSION = { enabled: true, enter_s: 60, leave_s: 30, stalled_s: 10, epoch_s: 5 };
