--- a/src/bookkeeping/format-gate.ts
+++ b/src/bookkeeping/format-gate.ts
@@ -78,7 +78,7 @@
     );
   }
 
-  /** Like `isOpenForFormat2`, but also reads the key-value store: the watch cache may lack the newest format records. */
+  /** Like `isOpenForFormat2`, but also reads the format records in the store: the watch cache may lag behind them. */
   async confirmOpenForFormat2(): Promise<boolean> {
     if (this.isOpenForFormat2) return true;
     for (const controller of this.controllersWithout(FORMAT.dependencies)) {
--- a/src/bookkeeping/job-acceptance.ts
+++ b/src/bookkeeping/job-acceptance.ts
@@ -93,8 +93,8 @@
   }
 
   /**
-   * Writes the record of a job if it is admitted. Admission decides on `job` as submitted; `checked`, which lacks the
-   * done dependencies, is stored. False: the job may have been accepted before, or there was no response.
+   * Writes `checked`, the same job without dependencies that are already done. True: written. False: it may have been
+   * accepted before, there was no response, or all tries failed. Throws `SubmissionDeferredError` if `job` is deferred.
    */
   async #writeIfAdmitted(job: Job, checked: Job): Promise<boolean> {
     const { store, clock, limits, admission, publish } = this.context;
--- a/src/bookkeeping/job-conditions.ts
+++ b/src/bookkeeping/job-conditions.ts
@@ -1,4 +1,4 @@
-/** @file The conditions of transactions on jobs that have not ended. */
+/** @file Transaction conditions that require that a job has not ended. */
 import type { Condition } from '../protocol/key-value-store';
 import { KEY } from './records';
 
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -148,9 +148,9 @@
 }
 
 /**
- * Listens once the controller is initialized; before that it could only respond with 503. The workers of a failed owner
- * all connect at once, and retry every second. A closed port refuses them at no cost to this process, whereas answering
- * them kept a starting controller from ever becoming ready.
+ * Listens once the controller is initialized; before that it can only respond with 503. When the owner of a shard
+ * fails, the shard's workers all connect at once, and retry every second. A closed port refuses them at no cost to this
+ * process, whereas responding to them can keep a starting controller from ever becoming ready.
  */
 async function listenWhenInitialized(
   server: FastifyInstance,
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -7,7 +7,7 @@
 import type { AutoscalerShard } from './autoscaler-shard';
 
 const INTERVAL_MS = 700;
-/** Small batches leave room for other writes where the key-value store's limit on changes is low. */
+/** Small batches leave room for other writes where the key-value store's limit on changes per second is low. */
 const MAX_RECORDS_PER_DELETE = 20;
 
 /** Releases drained machines, and deletes their records once the cloud has confirmed their termination. */
--- a/src/coordination/autoscaling/scaling-plan.ts
+++ b/src/coordination/autoscaling/scaling-plan.ts
@@ -34,7 +34,7 @@
   readonly isUrgent: boolean;
   /** How long the tasks can wait and still end in time. */
   readonly slackMs: number;
-  /** How many of the job's tasks run, or may run, in each zone. */
+  /** The number of the job's tasks in each zone, including those whose start is unconfirmed. */
   readonly tasksPerZone?: ReadonlyMap<string, number>;
 }
 
--- a/src/coordination/scheduling/eager.ts
+++ b/src/coordination/scheduling/eager.ts
@@ -7,7 +7,7 @@
   /** The earlier of two monotonic times: of the last heartbeat (or when first seen), and of becoming unresponsive. */
   readonly lastHeartbeatAt: number;
   readonly isBusy: boolean;
-  /** Whether jobs of the shard wait until the attempts on this machine are known. */
+  /** Whether all jobs accepted before the shard's acquisition wait until the attempts on this machine are known. */
   readonly blocksShard: boolean;
 }
 
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -244,8 +244,8 @@
   const cached = machine.cachedImages.has(job.image) ? 4 : 0;
   const cpuLeft = (free.cpus - job.cpus) / machine.type.cpus;
   const memoryLeft = (free.memoryGb - job.memoryGb) / machine.type.memoryGb;
-  // Spot machines are cheap, so they are filled first and on-demand machines can be released. Machines that stay busy
-  // anyway are preferred, so that other machines become idle and can be released.
+  // Spot machines are cheaper, so they are filled first and on-demand machines can be released. Machines that stay busy
+  // anyway are preferred too, so that other machines become idle and can be released.
   const staysBusy = machine.busyForS > 0 ? 0.5 + 0.5 * Math.min(1, machine.busyForS / expectedRunS) : 0;
   return cached + (machine.spot ? 1.5 : 0) + staysBusy - cpuLeft - 0.5 * Math.abs(cpuLeft - memoryLeft);
 }
--- a/src/coordination/shard/record-change-handler.ts
+++ b/src/coordination/shard/record-change-handler.ts
@@ -8,7 +8,7 @@
 
 /** The methods of the shard's owner that `RecordChangeHandler` calls. */
 export interface RecordChangeListener {
-  /** Closes a job that has ended: it is done or cancelled. */
+  /** Removes a job that is done or cancelled from the shard, and evicts its attempts. */
   closeJob(id: string): void;
   /** Handles the termination of a machine, which ends every attempt on it. */
   onMachineTerminated(machine: Machine): void;
--- a/src/coordination/shard/resource-usage.ts
+++ b/src/coordination/shard/resource-usage.ts
@@ -8,7 +8,7 @@
 
 /**
  * Tracks the resources that a shard's attempts occupy: sums by team, attempt counts by job and zone, attempts by job.
- * Updated with each attempt, because with a thousand machines a recount in each round or message would be too slow.
+ * They are updated with each attempt: with a thousand machines, a recount in each round or message would be too slow.
  */
 export class ResourceUsage implements OccupancyListener {
   readonly #teams = new Map<string, { cpus: number; gpus: number; tasks: number }>();
--- a/src/coordination/shard/worker-liveness.ts
+++ b/src/coordination/shard/worker-liveness.ts
@@ -168,7 +168,7 @@
     this.#lastRenewalAt = now;
   }
 
-  /** Handles a message that is newer than all earlier ones. */
+  /** Handles a heartbeat that is newer than all others by incarnation and sequence number, not by arrival. */
   heartbeatReceived(heartbeat: WorkerHeartbeat, now: number): void {
     this.#sequence = heartbeat.sequence;
     this.#fencingTokenSeen = Math.max(this.#fencingTokenSeen, heartbeat.fencingToken);
--- a/src/main.ts
+++ b/src/main.ts
@@ -45,7 +45,7 @@
 
 function writeCodeCache(): void {
   const script = compile(undefined);
-  // Runs `createProgram`, so that the functions that it calls are compiled and cached; others are compiled when called.
+  // The code cache contains only functions compiled before, so `createProgram` runs first. Others compile when called.
   load(script).createProgram();
   writeFileSync(CODE_CACHE_FILE, script.createCachedData());
 }
--- a/src/suspicion/phi.ts
+++ b/src/suspicion/phi.ts
@@ -1,6 +1,6 @@
 /** @file Estimates how unlikely a silence is, by heartbeat intervals: phi accrual detection (Hayashibara and others). */
 
-/** The normal distribution of heartbeat intervals, in milliseconds. */
+/** A normal distribution fitted to heartbeat intervals, in milliseconds. */
 export interface IntervalDistribution {
   readonly meanMs: number;
   readonly deviationMs: number;
