--- a/src/base/settings.ts
+++ b/src/base/settings.ts
@@ -7,8 +7,8 @@
   type OperatorSettings,
   type PlatformSettings,
 } from './settings-schema';
-import { shareSockets, type SocketShares } from './sockets';
-import { limitsInForce, readNextLimits, type StateLimits } from './state-limits';
+import { allocateSockets, type SocketShares } from './sockets';
+import { effectiveLimits, readNextLimits, type StateLimits } from './state-limits';
 import { throttlingFor, type Throttling } from './throttling';
 
 /** The checked settings, and what follows from them. */
@@ -75,7 +75,7 @@
 }
 
 function chooseSockets({ deployment, others }: PlatformSettings, platformFile: string): SocketShares {
-  const sockets = shareSockets(deployment.quota.fd_limit, others.length);
+  const sockets = allocateSockets(deployment.quota.fd_limit, others.length);
   if (sockets.inbound < MIN_INBOUND_CONNECTIONS) {
     throw new SettingsError(
       `${platformFile}: deployment.quota.fd_limit: leaves ${sockets.inbound} connections for workers and users`,
@@ -126,7 +126,7 @@
   return {
     platform: {
       ...checked,
-      deployment: { ...checked.deployment, state: limitsInForce(state, next?.limits) },
+      deployment: { ...checked.deployment, state: effectiveLimits(state, next?.limits) },
     },
     operator: options,
     operatorFile,
--- a/src/base/sockets.ts
+++ b/src/base/sockets.ts
@@ -37,7 +37,7 @@
  * One shard's owner holds a connection of each of its machines. The more outbound connections stay open, the fewer
  * sockets are left for that; so commands use few, and what they leave idle makes way as workers connect.
  */
-export function shareSockets(fileLimit: number, peers: number): SocketShares {
+export function allocateSockets(fileLimit: number, peers: number): SocketShares {
   const commands = Math.floor(fileLimit * COMMANDS_PART);
   const idle = Math.floor(fileLimit * IDLE_PART);
   const external = Math.min(MAX_EXTERNAL, Math.floor(fileLimit * EXTERNAL_PART));
@@ -53,6 +53,6 @@
  * share, less a reserve for those to come. To open one anew for a command costs several times the command, so no more are
  * closed than must be (docs/PERFORMANCE.md).
  */
-export function idleNow({ idle, workers }: SocketShares, openInbound: number): number {
+export function maxIdleConnections({ idle, workers }: SocketShares, openInbound: number): number {
   return idle + Math.max(0, workers - openInbound);
 }
--- a/src/base/state-limits.ts
+++ b/src/base/state-limits.ts
@@ -61,7 +61,7 @@
 }
 
 /** The limits to obey: field by field the smaller of those of now and those announced. */
-export function limitsInForce(now: StateLimits, next: Partial<StateLimits> = {}): StateLimits {
+export function effectiveLimits(now: StateLimits, next: Partial<StateLimits> = {}): StateLimits {
   const smaller = (name: LimitName): number => Math.min(now[name], next[name] ?? Infinity);
   return {
     rps: smaller('rps'),
@@ -77,12 +77,12 @@
 }
 
 /** The largest value in bytes of JSON text. */
-export function valueBytes({ value_kb }: StateLimits): number {
+export function maxValueBytes({ value_kb }: StateLimits): number {
   return Math.floor(value_kb * BYTES_PER_KB);
 }
 
 /** How many changes one transaction may hold, of those that its writer wants to make at once. */
-export function changesAtOnce({ txn_ops, write_rps }: StateLimits, wanted = Infinity): number {
+export function maxChangesPerTransaction({ txn_ops, write_rps }: StateLimits, wanted = Infinity): number {
   const withinRate = Math.max(MIN_CHANGES, Math.floor(write_rps * TRANSACTION_PART));
   return Math.min(wanted, txn_ops, withinRate);
 }
--- a/src/bookkeeping/watch-cache.ts
+++ b/src/bookkeeping/watch-cache.ts
@@ -129,7 +129,7 @@
         this.#apply(eventOfEntry(entry));
       }
       after = page.entries.at(-1)?.key;
-      if (!page.more || after === undefined) break;
+      if (!page.hasMore || after === undefined) break;
     }
     this.#deleteUnlisted(listedKeys, firstRevision);
     // Pages are read at different revisions. The watch continues from the first, which brings all of them up to date.
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -8,7 +8,7 @@
 import { describeError, runLoop } from '../base/loop';
 import { systemRandom } from '../base/random';
 import type { Settings } from '../base/settings';
-import { idleNow } from '../base/sockets';
+import { maxIdleConnections } from '../base/sockets';
 import { Controller } from '../coordination/controller';
 import type { Environment } from '../coordination/environment';
 import { createRoutes } from '../coordination/routes';
@@ -94,7 +94,7 @@
     workerIdleMs: platform.deployment.workers.lease_s * MS_PER_S,
   };
   const connections = new Connections(limits, () => systemClock.now());
-  const idle = (): number => idleNow(sockets, connections.size);
+  const idle = (): number => maxIdleConnections(sockets, connections.size);
   return {
     settings,
     log,
--- a/src/coordination/autoscaling/rental-recorder.ts
+++ b/src/coordination/autoscaling/rental-recorder.ts
@@ -1,6 +1,6 @@
 /** @file Records rented machines in the key-value store. */
 import { WakeSignal } from '../../base/clock';
-import { changesAtOnce } from '../../base/state-limits';
+import { maxChangesPerTransaction } from '../../base/state-limits';
 import { KEY, type MachineRecord } from '../../bookkeeping/records';
 import type { CompareAndSwapResult } from '../../protocol/key-value-store';
 import type { ControllerContext } from '../controller-context';
@@ -110,7 +110,7 @@
     const { state } = this.context.settings.platform.deployment;
     return [...this.#unrecorded]
       .filter(([, rental]) => !rental.isBeingRegistered)
-      .slice(0, changesAtOnce(state, MAX_RECORDS_PER_WRITE))
+      .slice(0, maxChangesPerTransaction(state, MAX_RECORDS_PER_WRITE))
       .map(([id, rental]) => ({ id, put: { put: KEY.machine(id), value: this.#recordOf(rental) } }));
   }
 
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -1,5 +1,5 @@
 /** @file Releases a shard's drained machines. */
-import { changesAtOnce } from '../../base/state-limits';
+import { maxChangesPerTransaction } from '../../base/state-limits';
 import { KEY } from '../../bookkeeping/records';
 import { MAX_MACHINES_PER_DELETE } from '../../protocol/cloud';
 import type { ControllerContext } from '../controller-context';
@@ -57,7 +57,7 @@
 
   async #deleteRecords(): Promise<void> {
     const { state } = this.context.settings.platform.deployment;
-    const ids = [...this.#terminated].slice(0, changesAtOnce(state, MAX_RECORDS_PER_DELETE));
+    const ids = [...this.#terminated].slice(0, maxChangesPerTransaction(state, MAX_RECORDS_PER_DELETE));
     if (ids.length === 0) return;
     const result = await this.context.store.compareAndSwap(
       [this.owner.leaseCondition()],
--- a/src/coordination/controller-components.ts
+++ b/src/coordination/controller-components.ts
@@ -2,7 +2,7 @@
 import { EpochWriter } from '../admission/epoch-writer';
 import { WakeSignal } from '../base/clock';
 import type { Settings } from '../base/settings';
-import { changesAtOnce } from '../base/state-limits';
+import { maxChangesPerTransaction } from '../base/state-limits';
 import type { KeyValueStore } from '../protocol/key-value-store';
 import { writePeerMessage, type PeerMessage } from '../protocol/peers';
 import { FixedTimeoutDetector } from '../suspicion/peer-liveness';
@@ -96,7 +96,7 @@
   return new EpochWriter(
     {
       ...context,
-      maxChanges: changesAtOnce(state),
+      maxChanges: maxChangesPerTransaction(state),
       progressOf: (id) => progress.get(id),
       waitsForDependencies: (id) => dependencies.graph.has(id) && !dependencies.isReady(id),
       teamLimitCpus: (team) => teams.find(({ name }) => name === team)?.cpus_max ?? 0,
--- a/src/coordination/controller-services.ts
+++ b/src/coordination/controller-services.ts
@@ -5,7 +5,7 @@
 import { EventLoopDelay } from '../base/event-loop-delay';
 import type { Log } from '../base/log';
 import type { Settings } from '../base/settings';
-import { changesAtOnce, valueBytes } from '../base/state-limits';
+import { maxChangesPerTransaction, maxValueBytes } from '../base/state-limits';
 import { OPEN_ADMISSION } from '../bookkeeping/admission-policy';
 import { DependencyTracker } from '../bookkeeping/dependency-tracker';
 import { DependentCancellation } from '../bookkeeping/dependent-cancellation';
@@ -159,7 +159,7 @@
   );
   return new JobStore({
     ...services,
-    limits: { valueBytes: valueBytes(state), changes: changesAtOnce(state) },
+    limits: { valueBytes: maxValueBytes(state), changes: maxChangesPerTransaction(state) },
     admission: admission ? new AdmissionControl({ ...services, log, lookUpLimit }) : OPEN_ADMISSION,
   });
 }
@@ -224,7 +224,7 @@
     suspicion: createSuspicion(settings, environment, cache),
     types: () => machineTypes.all,
   };
-  const changes = changesAtOnce(settings.platform.deployment.state);
+  const changes = maxChangesPerTransaction(settings.platform.deployment.state);
   const dependentCancellation = new DependentCancellation({ ...jobServices, jobs, changes });
   return { context, machineTypes, dependentCancellation, admission };
 }
--- a/src/coordination/machine-types.ts
+++ b/src/coordination/machine-types.ts
@@ -1,7 +1,7 @@
 /** @file The machine types that the cloud offers, shared among the controllers through the key-value store. */
 import type { Clock } from '../base/clock';
 import type { Settings } from '../base/settings';
-import { changesAtOnce, valueBytes } from '../base/state-limits';
+import { maxChangesPerTransaction, maxValueBytes } from '../base/state-limits';
 import type { FormatGate } from '../bookkeeping/format-gate';
 import { readTypes, storeTypes } from '../bookkeeping/type-records';
 import type { WatchCache } from '../bookkeeping/watch-cache';
@@ -53,8 +53,8 @@
       this.#types = types;
       const { state } = settings.platform.deployment;
       await storeTypes(types, cache, store, {
-        valueBytes: valueBytes(state),
-        changes: changesAtOnce(state),
+        valueBytes: maxValueBytes(state),
+        changes: maxChangesPerTransaction(state),
         mayUseParts: formatGate.isOpenForFormat2,
       });
       onRefreshed();
--- a/src/coordination/ownership/machine-adoption.ts
+++ b/src/coordination/ownership/machine-adoption.ts
@@ -1,5 +1,5 @@
 /** @file Adoption of machines that the cloud lists and no record names; the leader's duty. */
-import { changesAtOnce } from '../../base/state-limits';
+import { maxChangesPerTransaction } from '../../base/state-limits';
 import { eventOfChange } from '../../bookkeeping/change-events';
 import { KEY, PREFIX, read, type MachineRecord } from '../../bookkeeping/records';
 import { shardCount } from '../../bookkeeping/shard-count';
@@ -51,7 +51,7 @@
       .machines()
       .filter(({ state, ageS }) => state !== 'failed' && ageS > MIN_AGE_S)
       .filter(({ id }) => !cache.get(KEY.machine(id)) && !this.cloud.wasRecordDeletedRecently(id))
-      .slice(0, changesAtOnce(settings.platform.deployment.state, MAX_ADOPTIONS));
+      .slice(0, maxChangesPerTransaction(settings.platform.deployment.state, MAX_ADOPTIONS));
   }
 
   #shardWithFewestMachines(): number {
--- a/src/coordination/ownership/record-garbage-collector.ts
+++ b/src/coordination/ownership/record-garbage-collector.ts
@@ -1,5 +1,5 @@
 /** @file Deletion of records that ended jobs left behind; the leader's duty. */
-import { changesAtOnce } from '../../base/state-limits';
+import { maxChangesPerTransaction } from '../../base/state-limits';
 import { COMPLETION_PREFIXES, jobOfCompletionKey } from '../../bookkeeping/completion-records';
 import { jobOfDependencyPartKey } from '../../bookkeeping/dependency-records';
 import { KEY, PREFIX } from '../../bookkeeping/records';
@@ -39,7 +39,7 @@
   /** One step of the leader: deletes some orphans, as many as fit one transaction. */
   async step(): Promise<void> {
     const { store, settings } = this.context;
-    const most = changesAtOnce(settings.platform.deployment.state, MAX_DELETIONS);
+    const most = maxChangesPerTransaction(settings.platform.deployment.state, MAX_DELETIONS);
     const orphans = this.orphans().slice(0, most);
     if (orphans.length === 0) return;
     // Only the conditions prove that the jobs have ended. They are enough: an ended job never becomes live again.
--- a/src/coordination/shard/completion-recorder.ts
+++ b/src/coordination/shard/completion-recorder.ts
@@ -1,6 +1,6 @@
 /** @file Writes completions to the key-value store. */
 import type { WakeSignal } from '../../base/clock';
-import { changesAtOnce, valueBytes } from '../../base/state-limits';
+import { maxChangesPerTransaction, maxValueBytes } from '../../base/state-limits';
 import { completionLayout, groupByRecord, readCompletions } from '../../bookkeeping/completion-records';
 import { KEY, type FinalRecord } from '../../bookkeeping/records';
 import { shardCount } from '../../bookkeeping/shard-count';
@@ -109,7 +109,7 @@
     const unrecorded = [...this.shard.tables.values()].filter((table) => table.unrecorded.size > 0);
     const complete = unrecorded.filter((table) => table.remaining === 0);
     const unfinished = this.#unfinishedDue(unrecorded, now);
-    const batch = new Batch(changesAtOnce(this.context.settings.platform.deployment.state));
+    const batch = new Batch(maxChangesPerTransaction(this.context.settings.platform.deployment.state));
     let bitmapsLeft = this.#maxBitmaps();
     for (const table of [...complete, ...unfinished]) {
       const isFinal = table.remaining === 0;
@@ -150,7 +150,7 @@
     const changes: Change[] = [{ put: KEY.final(id), value: final }, { delete: KEY.job(id) }];
     // What doesn't fit is left to the leader, which deletes completions of jobs that are over.
     const { state } = this.context.settings.platform.deployment;
-    const room = Math.max(0, changesAtOnce(state) - changes.length);
+    const room = Math.max(0, maxChangesPerTransaction(state) - changes.length);
     const deleted = [...table.recordVersions].slice(0, room);
     for (const [key, version] of deleted) {
       conditions.push({ key, version });
@@ -171,10 +171,10 @@
   #bitmapWrite(table: DispatchTable, maxRecords: number): JobWrite {
     const { job } = table;
     const { state } = this.context.settings.platform.deployment;
-    const bytes = valueBytes(state);
+    const bytes = maxValueBytes(state);
     const fitting = Math.max(1, Math.floor(MAX_VALUE_BYTES / bytes));
     const layout = completionLayout(job, bytes, this.context.formatGate.isOpenForFormat2);
-    const recordCount = Math.min(changesAtOnce(state, maxRecords), fitting);
+    const recordCount = Math.min(maxChangesPerTransaction(state, maxRecords), fitting);
     const groups = groupByRecord(job, table.unrecorded, layout).slice(0, recordCount);
     const conditions: Condition[] = [{ key: KEY.job(job.id), version: table.version }];
     const changes: Change[] = [];
--- a/src/coordination/shard/machine-registration.ts
+++ b/src/coordination/shard/machine-registration.ts
@@ -1,6 +1,6 @@
 /** @file Records machines as up before their first heartbeats get a response. */
 import { describeError } from '../../base/loop';
-import { changesAtOnce } from '../../base/state-limits';
+import { maxChangesPerTransaction } from '../../base/state-limits';
 import { KEY, type MachineRecord } from '../../bookkeeping/records';
 import type { Condition } from '../../protocol/key-value-store';
 import type { ControllerContext } from '../controller-context';
@@ -79,7 +79,7 @@
     this.#isWriting = true;
     await this.context.clock.sleep(BATCHING_DELAY_MS);
     while (this.#pending.size > 0) {
-      const maxRecords = changesAtOnce(
+      const maxRecords = maxChangesPerTransaction(
         this.context.settings.platform.deployment.state,
         MAX_RECORDS_PER_TRANSACTION,
       );
--- a/src/protocol/http-key-value-store.ts
+++ b/src/protocol/http-key-value-store.ts
@@ -87,7 +87,7 @@
     const since = after === undefined ? '' : `&since=${encodeURIComponent(after)}`;
     const path = `/store?prefix=${encodeURIComponent(prefix)}${since}&limit=${ENTRIES_PER_PAGE}`;
     const page = parse(await this.#call('GET', path, undefined), listSchema);
-    return { entries: page.entries.map(toEntry), more: page.hasNext, revision: page.ledger };
+    return { entries: page.entries.map(toEntry), hasMore: page.hasNext, revision: page.ledger };
   }
 
   async compareAndSwap(
--- a/src/protocol/key-value-store.ts
+++ b/src/protocol/key-value-store.ts
@@ -29,7 +29,7 @@
 export interface EntryPage {
   entries: Entry[];
   /** Whether entries follow after the last of this page. */
-  more: boolean;
+  hasMore: boolean;
   revision: number;
 }
 
--- a/src/transport/connections.ts
+++ b/src/transport/connections.ts
@@ -2,7 +2,7 @@
 import type { Socket } from 'node:net';
 
 /** Whom a connection belongs to; the first request that comes over it shows that. */
-export type Use = 'workers' | 'users' | 'health';
+export type ConnectionUse = 'workers' | 'users' | 'health';
 
 /** How many connections may be open, and how long an unused one of a worker is kept. */
 export interface ConnectionLimits {
@@ -19,7 +19,7 @@
 
 interface Connection {
   /** Undefined before the first request. */
-  use: Use | undefined;
+  use: ConnectionUse | undefined;
   /** Requests that are not answered yet. */
   requests: number;
   idleSince: number;
@@ -70,7 +70,7 @@
   }
 
   /** A request arrived; false when its connection exceeds the limit for its use. */
-  beginRequest(socket: Socket, use: Use): boolean {
+  beginRequest(socket: Socket, use: ConnectionUse): boolean {
     const connection = this.#all.get(socket);
     if (!connection) return true;
     connection.requests += 1;
@@ -92,7 +92,7 @@
   }
 
   /** Whether a worker's connection is to be closed with the response. */
-  get areWorkersCrowded(): boolean {
+  get isNearWorkerLimit(): boolean {
     return this.#workers > Math.ceil(this.limits.workers * KEEP_ALIVE_PART);
   }
 
@@ -100,7 +100,7 @@
     return this.#all.size > this.limits.all - SPARE_CONNECTIONS;
   }
 
-  #assign(connection: Connection, use: Use | undefined): void {
+  #assign(connection: Connection, use: ConnectionUse | undefined): void {
     if (connection.use === 'workers') this.#workers -= 1;
     connection.use = use;
     if (use === 'workers') this.#workers += 1;
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -1,6 +1,6 @@
 /** @file The HTTP server for workers, users and health checks. */
 import fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from 'fastify';
-import type { Connections, Use } from './connections';
+import type { Connections, ConnectionUse } from './connections';
 
 /** A request as a route sees it. */
 export interface HttpRequest {
@@ -25,7 +25,7 @@
   /** May have parameters, such as `/work/:id`. */
   url: string;
   /** Whose connections bring its requests. */
-  use: Use;
+  use: ConnectionUse;
   /** A promise only where the reply has to be waited for. */
   handle(request: HttpRequest): HttpReply | Promise<HttpReply>;
 }
@@ -119,7 +119,7 @@
       params: request.params as Record<string, string>,
       body: request.body instanceof Uint8Array ? request.body : EMPTY_BODY,
     });
-    if (this.route.use === 'workers' && this.connections.areWorkersCrowded) {
+    if (this.route.use === 'workers' && this.connections.isNearWorkerLimit) {
       reply.header('connection', 'close');
     }
     if (handled instanceof Promise) this.#writeLater(reply, handled);
