--- a/test/machine.test.ts
+++ b/test/machine.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { Machine } from '../src/coordination/shard/machine';
 import type { WorkerHeartbeat } from '../src/protocol/model';
-import { type } from './decision-inputs';
+import { type } from './scheduling-inputs';
 
 function reportOf(session: number, sequence: number): WorkerHeartbeat {
   const where = { machine: 'host-1', address: '10.1.0.1:9000', type: 'm4', zone: 'a', spot: true };
