--- a/src/transport/bounded-agent.ts
+++ b/src/transport/bounded-agent.ts
@@ -1,23 +1,23 @@
-/** @file A pool of outgoing HTTP connections with a bound on the idle ones. */
+/** @file A pool of outbound HTTP connections with a limit on idle ones. */
 import { Agent, type ClientRequest } from 'node:http';
 import type { Duplex } from 'node:stream';
 
 const MAX_IDLE_PER_HOST = 4;
 
-/** How many connections a pool may hold. */
+/** Limits on the connections of a pool. */
 export interface PoolLimits {
-  /** Connections to one host at a time. */
+  /** Concurrent connections to one host. */
   readonly perHost: number;
-  /** Idle connections in all, which may depend on the moment. */
+  /** Returns the current limit on idle connections to all hosts together. */
   readonly idle: () => number;
 }
 
 /**
- * Keeps the idle connections that were used last, up to a bound: those to a fleet, one a machine, could use up all
+ * Keeps the most recently used idle connections, up to a limit: one to each machine of a large fleet could use up all
  * sockets.
  */
 export class BoundedAgent extends Agent {
-  /** The longest idle first, each with its listener that takes it off this list when it closes. */
+  /** Idle connections, longest idle first; each with the listener that removes it from here when it closes. */
   readonly #idle = new Map<Duplex, () => void>();
   readonly #maxIdle: () => number;
 
@@ -27,7 +27,7 @@
   }
 
   override keepSocketAlive(socket: Duplex): boolean {
-    // The types say that nothing is returned; by the documentation and the code it is whether to keep the socket.
+    // The declared type is void, but Node documents and implements a result: whether to keep the socket.
     const keep = super.keepSocketAlive(socket) as unknown as boolean;
     if (!keep) return false;
     const onClose = (): void => {
@@ -44,13 +44,13 @@
     super.reuseSocket(socket, request);
   }
 
-  /** Closes idle connections beyond the bound, the longest idle first. */
+  /** Closes idle connections beyond the limit, longest idle first. */
   trim(): void {
     const maxIdle = this.#maxIdle();
     for (const socket of this.#idle.keys()) {
       if (this.#idle.size <= maxIdle) return;
-      // Off the list at once, for it closes in a later turn only: when many responses came in one turn, each closed the
-      // same connection again, and idle ones piled up far beyond the bound.
+      // Removed here, because the socket emits `close` only in a later event-loop turn. When many responses arrived in one
+      // turn, each call destroyed the same socket again, and idle connections grew far beyond the limit.
       this.#removeIdle(socket);
       socket.destroy();
     }
--- a/src/transport/connections.ts
+++ b/src/transport/connections.ts
@@ -1,18 +1,18 @@
-/** @file Limits on the incoming connections, shared out among workers, users and health checks. */
+/** @file Limits on inbound connections, divided among workers, users and health checks. */
 import type { Socket } from 'node:net';
 
-/** Whom a connection belongs to; the first request that comes over it shows that. */
+/** The kind of client that a connection belongs to, known from its requests. */
 export type ConnectionUse = 'workers' | 'users' | 'health';
 
-/** How many connections may be open, and how long an unused one of a worker is kept. */
+/** Limits on open connections, and the idle timeout of workers' connections. */
 export interface ConnectionLimits {
-  /** Connections in all. */
+  /** Connections of all uses together. */
   readonly all: number;
-  /** Of these, how many workers may hold. */
+  /** The part of `all` that workers may use. */
   readonly workers: number;
   /**
-   * A worker without a request for so long is gone, or sends its heartbeats to another controller; its own side may never close the
-   * connection.
+   * A worker that has sent no request for this long has failed, or sends its heartbeats to another controller; it may
+   * never close the connection itself.
    */
   readonly workerIdleMs: number;
 }
@@ -20,26 +20,26 @@
 interface Connection {
   /** Undefined before the first request. */
   use: ConnectionUse | undefined;
-  /** Requests that are not answered yet. */
+  /** Number of requests in progress. */
   requests: number;
   idleSince: number;
 }
 
-/** Connections kept free, so that one beyond the limit can still be answered with the time after which to retry. */
+/** Reserved connections, so that a request beyond the limit still gets a response with the time after which to retry. */
 const SPARE_CONNECTIONS = 8;
 const IDLE_CHECK_INTERVAL_MS = 5_000;
-/** From this part of their share on, workers' connections are closed after each response. */
-const KEEP_ALIVE_PART = 31 / 32;
+/** Above this share of their limit, workers' connections are closed after each response. */
+const KEEP_ALIVE_SHARE = 31 / 32;
 
 /**
- * Open incoming connections by use. Workers keep theirs as long as they send heartbeats, unless more of them come than
- * their share has room for: then connections are closed after a response, so that the workers take turns and a fleet of
- * any size is answered, at the cost of opening connections anew. When connections run short, users' connections that are
- * idle between two requests are closed, the longest idle first.
+ * Tracks open inbound connections by use. A worker's connection stays open as long as the worker sends heartbeats. Near
+ * the limit for workers, their connections are closed after each response instead: a fleet of any size can then be served,
+ * at the cost of reconnecting. When connections run short, users' connections without a request in progress are closed,
+ * longest idle first.
  */
 export class Connections {
   readonly #all = new Map<Socket, Connection>();
-  /** Users' connections without a request, the longest idle first. */
+  /** Users' connections without a request in progress, longest idle first. */
   readonly #idleUsers = new Set<Socket>();
   #workers = 0;
   #idleCheckedAt = 0;
@@ -59,7 +59,7 @@
     return this.#workers;
   }
 
-  /** Adds a connection that was opened, until it is closed. */
+  /** Tracks a new connection until it closes. */
   add(socket: Socket): void {
     this.#all.set(socket, { use: undefined, requests: 0, idleSince: this.now() });
     socket.once('close', () => {
@@ -69,7 +69,7 @@
     if (this.#isFull) this.#idleUsers.values().next().value?.destroy();
   }
 
-  /** A request arrived; false when its connection exceeds the limit for its use. */
+  /** Registers the start of a request; false when its connection exceeds the limit for its use. */
   beginRequest(socket: Socket, use: ConnectionUse): boolean {
     const connection = this.#all.get(socket);
     if (!connection) return true;
@@ -82,7 +82,7 @@
     return true;
   }
 
-  /** A request on the connection was answered, or broken off. */
+  /** Registers the end of a request, answered or aborted. */
   endRequest(socket: Socket): void {
     const connection = this.#all.get(socket);
     if (!connection) return;
@@ -91,9 +91,9 @@
     if (connection.use === 'users' && connection.requests === 0) this.#idleUsers.add(socket);
   }
 
-  /** Whether a worker's connection is to be closed with the response. */
+  /** Whether workers' connections should be closed after a response. */
   get isNearWorkerLimit(): boolean {
-    return this.#workers > Math.ceil(this.limits.workers * KEEP_ALIVE_PART);
+    return this.#workers > Math.ceil(this.limits.workers * KEEP_ALIVE_SHARE);
   }
 
   get #isFull(): boolean {
@@ -113,7 +113,7 @@
     this.#idleUsers.delete(socket);
   }
 
-  /** A machine that lost power never closes its connection; without this, such connections would add up. */
+  /** A machine that lost power never closes its connection; without a timeout such connections would accumulate. */
   #closeIdleWorkers(): void {
     const now = this.now();
     this.#idleCheckedAt = now;
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -2,7 +2,7 @@
 import fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from 'fastify';
 import type { Connections, ConnectionUse } from './connections';
 
-/** A request as a route sees it. */
+/** A request as a route receives it. */
 export interface HttpRequest {
   /** The parameters in the route's path. */
   params: Record<string, string>;
@@ -10,33 +10,33 @@
   body: Uint8Array;
 }
 
-/** What a route replies. */
+/** The reply of a route. */
 export interface HttpReply {
   status: number;
-  /** The value to encode; left out: an error that names the status. */
+  /** The value to encode; by default an error that names the status. */
   body?: unknown;
   /** The time after which the sender should repeat the request, in seconds. */
   retryAfterS?: number;
 }
 
-/** A path of the server, and what handles its requests. */
+/** A path of the server, and the handler of its requests. */
 export interface Route {
   method: 'GET' | 'POST';
   /** May have parameters, such as `/work/:id`. */
   url: string;
-  /** Whose connections bring its requests. */
+  /** The kind of clients that send its requests. */
   use: ConnectionUse;
-  /** A promise only where the reply has to be waited for. */
+  /** Returns a promise only if the reply isn't available at once. */
   handle(request: HttpRequest): HttpReply | Promise<HttpReply>;
 }
 
-/** What the server goes by. */
+/** The limits and callbacks of the server. */
 export interface ServerOptions {
   maxBodyBytes: number;
-  /** Empty at first; the server adds those that are opened to it. */
+  /** Initially empty; the server adds its inbound connections. */
   connections: Connections;
   encode(value: unknown): Uint8Array;
-  /** An error that no route handled; its request is answered with 503. */
+  /** Called with an error that no route handled; the request is answered with 503. */
   onError(error: unknown): void;
 }
 
@@ -45,7 +45,7 @@
 /** Connections stay open until one side says `Connection: close`; users poll every few seconds. */
 const KEEP_ALIVE_TIMEOUT_MS = 180_000;
 const MAX_PARAMETER_LENGTH = 300;
-/** When to repeat a request whose connection exceeds the limit. */
+/** Time after which to retry a request whose connection exceeds the limit. */
 const RETRY_AFTER_S = 1;
 
 const STATUS_NOT_FOUND = 404;
@@ -59,16 +59,16 @@
   write(reply: FastifyReply, { status, body, retryAfterS }: HttpReply): void {
     if (retryAfterS !== undefined) reply.header('retry-after', Math.ceil(retryAfterS));
     const bytes = this.encode(body ?? { error: `status ${status}` });
-    // A view of the same bytes: the framework sends a Buffer as it is.
+    // A view without a copy: the framework sends a Buffer unchanged.
     const payload = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
     void reply.code(status).header('content-type', MESSAGE_PACK).send(payload);
   }
 }
 
-/** Hands each body on as its bytes. */
+/** Passes each body on as raw bytes. */
 function setBodyParsers(server: FastifyInstance): void {
   server.removeAllContentTypeParsers();
-  // The second by its name, too: only for named types does the parser skip taking the header apart on every request.
+  // MessagePack is registered by name, too: for types that only the wildcard matches, every request's header is parsed.
   for (const type of ['*', MESSAGE_PACK]) {
     server.addContentTypeParser(type, { parseAs: 'buffer' }, (_request, body, done) => {
       done(null, body);
@@ -93,7 +93,7 @@
   });
 }
 
-/** Handles the requests of a route, inside the limits on connections. */
+/** Handles the requests of a route, within the limits on connections. */
 class RouteHandler {
   constructor(
     private readonly route: Route,
@@ -102,8 +102,8 @@
   ) {}
 
   /**
-   * Most heartbeats are answered in the turn that brings them, without a promise: a thousand workers send hundreds a
-   * second.
+   * Most heartbeats are answered in the event-loop turn in which they arrive, without a promise: a thousand workers send
+   * hundreds a second.
    */
   handle(request: FastifyRequest, reply: FastifyReply): void {
     const { socket } = request.raw;
@@ -122,11 +122,11 @@
     if (this.route.use === 'workers' && this.connections.isNearWorkerLimit) {
       reply.header('connection', 'close');
     }
-    if (handled instanceof Promise) this.#writeLater(reply, handled);
+    if (handled instanceof Promise) this.#writeWhenResolved(reply, handled);
     else this.writer.write(reply, handled);
   }
 
-  #writeLater(reply: FastifyReply, handled: Promise<HttpReply>): void {
+  #writeWhenResolved(reply: FastifyReply, handled: Promise<HttpReply>): void {
     handled.then(
       (result) => {
         this.writer.write(reply, result);
@@ -138,7 +138,7 @@
   }
 }
 
-/** Creates the HTTP server, which does not listen yet. A body over the limit is refused (413) without being kept. */
+/** Creates the HTTP server, not listening yet. A body over the limit is refused (413) without buffering all of it. */
 export function createServer(routes: Route[], options: ServerOptions): FastifyInstance {
   const { connections } = options;
   const server = fastify({
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -1,4 +1,4 @@
-/** @file One-way connections between controllers that carry frames. */
+/** @file One-way connections between controllers, over which they send length-prefixed frames. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { describeError, runLoop, type LoopContext } from '../base/loop';
 import type { Log } from '../base/log';
@@ -7,12 +7,12 @@
 export const MAX_FRAME_BYTES = 256 * 1024;
 const LENGTH_BYTES = 4;
 const MAX_QUEUED_BYTES = 1024 * 1024;
-/** Peers send a heartbeat every second; a connection without one for so long is closed. */
+/** Peers send a heartbeat every second; a connection without data for this long is closed. */
 const IDLE_TIMEOUT_MS = 15_000;
 const CONNECT_TIMEOUT_MS = 3_000;
 const RECONNECT_PAUSE_MS = 1_000;
 
-/** Reads frames: a length of four bytes, then that many bytes. Throws when a frame is longer than allowed. */
+/** Reads frames: a length of four bytes, then that many bytes. Throws when a frame exceeds the limit. */
 export async function* readFrames(
   source: AsyncIterable<Uint8Array>,
   maxBytes: number,
@@ -22,8 +22,8 @@
     buffered = buffered.length === 0 ? Buffer.from(chunk) : Buffer.concat([buffered, chunk]);
     while (buffered.length >= LENGTH_BYTES) {
       const length = buffered.readUInt32BE(0);
-      // Guards against garbled data: a length that no frame has would make this side buffer without end.
-      if (length > maxBytes) throw new Error(`a frame of ${length} bytes`);
+      // With corrupt data the length could be huge, and this side would buffer without limit.
+      if (length > maxBytes) throw new Error(`frame of ${length} bytes exceeds the limit`);
       const end = LENGTH_BYTES + length;
       if (buffered.length < end) break;
       yield buffered.subarray(LENGTH_BYTES, end);
@@ -32,7 +32,7 @@
   }
 }
 
-/** Puts the length before the bytes. */
+/** Encodes a frame: the length, then the bytes. */
 export function writeFrame(bytes: Uint8Array): Buffer {
   const out = Buffer.allocUnsafe(LENGTH_BYTES + bytes.length);
   out.writeUInt32BE(bytes.length, 0);
@@ -40,14 +40,14 @@
   return out;
 }
 
-/** Accepts frames from the peers. A peer that sends garbled data loses only its own connection. */
+/** Receives frames from peers. Corrupt data closes only the connection that it came from. */
 export function listenForPeers(address: string, onFrame: (bytes: Buffer) => void, log: Log): Server {
   const server = createServer((socket) => {
     void receiveFrames(socket, onFrame, log);
   });
   const [host, port] = address.split(':');
   server.on('error', (error) => {
-    log.error({ err: describeError(error), address }, 'the peer port cannot be opened');
+    log.error({ err: describeError(error), address }, 'peer listener failed');
   });
   server.listen(Number(port), host);
   return server;
@@ -61,15 +61,15 @@
   try {
     for await (const bytes of readFrames(socket, MAX_FRAME_BYTES)) onFrame(bytes);
   } catch (error) {
-    log.debug({ err: describeError(error) }, 'a peer connection ended');
+    log.debug({ err: describeError(error) }, 'inbound peer connection failed');
   } finally {
     socket.destroy();
   }
 }
 
 /**
- * Sends frames to one peer. Best effort: what can't be sent now is dropped; the receiver's watch of the key-value store
- * delivers it later.
+ * Sends frames to one peer, best effort: a frame that can't be sent at once is dropped. The peer receives changes of
+ * records later from its watch of the key-value store.
  */
 export class PeerSender {
   /** Undefined while there is no connection. */
@@ -80,19 +80,19 @@
     private readonly context: LoopContext,
   ) {}
 
-  /** Keeps a connection open until the signal. */
+  /** Keeps a connection open until the signal is aborted. */
   async run(): Promise<void> {
-    await runLoop(`peer ${this.address}`, () => this.#holdConnection(), this.context);
+    await runLoop(`peer ${this.address}`, () => this.#maintainConnection(), this.context);
   }
 
-  /** Sends the bytes as a frame, if there is a connection with room in its queue. */
+  /** Sends the bytes as a frame, if there is a connection and its send queue is not full. */
   send(bytes: Uint8Array): void {
     const socket = this.#socket;
     if (socket && socket.writableLength < MAX_QUEUED_BYTES) socket.write(writeFrame(bytes));
   }
 
-  /** Opens a connection, holds it until it closes, and pauses before the next one. */
-  async #holdConnection(): Promise<void> {
+  /** Opens a connection, waits until it closes, and pauses before the next one. */
+  async #maintainConnection(): Promise<void> {
     const [host, port] = this.address.split(':');
     const socket = connect({ host: host ?? '', port: Number(port) });
     socket.setNoDelay(true);
@@ -101,7 +101,10 @@
       this.#socket = socket;
       await waitForClose(socket);
     } catch (error) {
-      this.context.log.debug({ peer: this.address, err: describeError(error) }, 'peer link down');
+      this.context.log.debug(
+        { peer: this.address, err: describeError(error) },
+        'outbound peer connection failed',
+      );
     } finally {
       this.#socket = undefined;
       socket.destroy();
@@ -127,7 +130,7 @@
       resolve();
     });
     socket.on('error', () => socket.destroy());
-    // Discards what the peer sends, so that the end of the connection is seen.
+    // Reads and discards data from the peer: otherwise the end of the connection would not be noticed.
     socket.resume();
   });
 }
