--- a/test/load/run.mjs
+++ b/test/load/run.mjs
@@ -1,4 +1,4 @@
-// Builds the controllers and one of the programs of this folder, and runs it: node test/load/run.mjs NAME [OPTION...]
+// Builds the controllers and a program of this directory, and runs the program: node test/load/run.mjs NAME [OPTION...]
 import { spawnSync } from 'node:child_process';
 import process from 'node:process';
 import { build } from 'esbuild';
--- a/test/simulation/run.ts
+++ b/test/simulation/run.ts
@@ -4,8 +4,8 @@
 import { RandomizedSimulation } from './simulation';
 
 /**
- * `npm run simulate -- --seeds 200 --from 1`; with `--first` up to the first seed that fails; with `--digest` a line for
- * each seed with the digest of all messages, which stays the same while behaviour does.
+ * `npm run simulate -- --seeds 200 --from 1`. `--first` stops at the first seed that fails. `--digest` prints for each
+ * seed a digest of all messages, which stays the same as long as the behaviour does.
  */
 async function main(): Promise<void> {
   const options = {
